--- a/src/masticward/daemons/gateway.py
+++ b/src/masticward/daemons/gateway.py
@@ -71,7 +71,7 @@
         self.settings = settings
         self.read_settings = read_settings
         self.metrics = metrics.ProcessMetrics()
-        self.fleet = fleet_module.Fleet(settings)
+        self.fleet = fleet_module.FleetState(settings)
         self.followers = followers.create_followers(source, self.fleet)
         self.peering = peering.Peering(self.fleet, source, self.list_again)
         self.prover = prover.Prover(
@@ -81,12 +81,14 @@
         self.snapshot_server = http1_server.Server(
             (settings.ip, settings.peer_port), snapshots.SnapshotHandler(self.fleet)
         )
-        self.placer = placer.Placer(self.fleet, self.peering.note_prompt)
-        self.caller = calls.Caller(self.fleet, codec)
+        self.placer = placer.Placer(self.fleet, self.peering.announce_prompt)
+        self.endpoint_client = calls.EndpointClient(self.fleet, codec)
         self.source = source
         self.meters = gateway_metrics.GatewayMeters(self.metrics)
-        tools = request_path.RequestTools(self.fleet, codec, self.placer, self.caller, self.meters)
-        self.front = front.Front(tools)
+        dependencies = request_path.RequestDependencies(
+            self.fleet, codec, self.placer, self.endpoint_client, self.meters
+        )
+        self.front = front.ClientRequestHandler(dependencies)
         self.client_server = http1_server.Server(
             addresses.split(settings.client_address), self.front
         )
@@ -107,7 +109,7 @@
         add(
             "masticward_gateway_waiting_requests",
             "requests that wait for an endpoint",
-            lambda: sum(len(queue) for queue in self.placer.waiting.values()),
+            lambda: sum(len(queue) for queue in self.placer.queues.values()),
         )
         add(
             "masticward_gateway_unfinished_requests",
@@ -137,7 +139,7 @@
         add(
             "masticward_gateway_opened_connections",
             "connections opened to endpoints",
-            lambda: self.caller.pool.opened,
+            lambda: self.endpoint_client.pool.opened,
         )
         add(
             "masticward_gateway_repeats",
@@ -175,7 +177,7 @@
             and not self.lag.overloaded
             and fleet.configuration is not None
             and fleet.endpoints_known
-            and (fleet.keys_provable(clocks.boot_time()) or not self.peer_can_prove())
+            and (fleet.proof_is_fresh(clocks.boot_time()) or not self.peer_can_prove())
         )
         if ready != self.was_ready:
             self.was_ready = ready
@@ -187,21 +189,21 @@
         limit = self.settings.bounds.revoke_seconds - fleet_module.REVOKE_MARGIN_SECONDS
         return any(
             peer.live
-            and peer.figures is not None
-            and not peer.figures.stopping
-            and 0 <= peer.figures.configuration_proof_age < limit
+            and peer.last_report is not None
+            and not peer.last_report.stopping
+            and 0 <= peer.last_report.configuration_proof_age < limit
             for peer in self.peering.peers.values()
         )
 
     def list_again(self) -> None:
         """List endpoints and evacuations again, whatever their watches wait for."""
         for kind in (sources.ObjectKind.ENDPOINTS, sources.ObjectKind.EVACUATIONS):
-            self.followers[kind].list_again.set()
+            self.followers[kind].relist_requested.set()
         self.snapshots.listing_differs = True
 
     def tell_proof(self) -> None:
         """Tell the peers of a new proof at once, so that they need none of their own."""
-        self.peering.send_round()
+        self.peering.send_reports()
 
     async def start(self) -> None:
         """Open the ports and start the background tasks."""
@@ -256,8 +258,8 @@
                     late_seconds=round(self.lag.seconds, 3),
                     unfinished=self.client_server.busy,
                 )
-            self.fleet.tick()
-            self.caller.pool.expire(set(self.fleet.table.endpoints))
+            self.fleet.drop_expired_endpoints()
+            self.endpoint_client.pool.expire(set(self.fleet.table.endpoints))
 
     async def run_reloads(self) -> None:
         """Read the settings again from time to time, until cancelled."""
@@ -283,8 +285,8 @@
             self.settings.peer_port,
         )
         self.settings = found
-        self.fleet.take_settings(found)
-        self.peering.take_settings(found)
+        self.fleet.apply_settings(found)
+        self.peering.apply_settings(found)
         LOGGER.log(events.Event.SETTINGS_RELOADED, needs_restart=needs_restart)
 
     async def stop(self) -> None:
--- a/src/masticward/gateway/calls.py
+++ b/src/masticward/gateway/calls.py
@@ -17,19 +17,19 @@
 # Kept connections are given up this much before the endpoint's announced timeout.
 KEEP_ALIVE_MARGIN_SECONDS = 0.7
 # Without an announced timeout.
-DEFAULT_KEEP_SECONDS = 3.0
+DEFAULT_IDLE_SECONDS = 3.0
 # Longer announced timeouts gain nothing: each kept connection counts against max_connections.
-LONGEST_KEEP_SECONDS = 15.0
+MAX_IDLE_SECONDS = 15.0
 # Some endpoints drop idle connections without notice. After such a loss, connections of that
 # service that rested half as long are trusted, and twice as long after each further span.
-DROP_FACTOR = 0.5
-SHORTEST_TRUST_SECONDS = 0.1
-TRUST_SPAN_SECONDS = 10.0
+REUSE_LIMIT_FRACTION = 0.5
+MIN_REUSE_LIMIT_SECONDS = 0.1
+REUSE_LIMIT_DOUBLING_SECONDS = 10.0
 # The shortest trust is longer than any kept rest after this many doublings.
-MOST_SPANS = 8.0
-KEPT_CONNECTIONS = 24
+MAX_REUSE_LIMIT_DOUBLINGS = 8.0
+MAX_IDLE_CONNECTIONS = 24
 # Idle connections of all gateways take at most this part of what an endpoint accepts.
-IDLE_SHARE = 0.5
+IDLE_CONNECTIONS_FRACTION = 0.5
 # A reused address that answers late belongs to another request; more than this is a fault.
 STRAY_ANSWERS = 2
 LOGGER = logs.get_logger(__name__)
@@ -50,7 +50,7 @@
     idle_seconds: float | None
 
 
-class IdleTrust(msgspec.Struct):
+class ReuseLimit(msgspec.Struct):
     """How long connections of a service may have rested, after one was found dropped."""
 
     seconds: float
@@ -60,10 +60,10 @@
 class ConnectionPool:
     """Idle connections by endpoint id."""
 
-    def __init__(self, fleet: fleet_module.Fleet) -> None:
+    def __init__(self, fleet: fleet_module.FleetState) -> None:
         self.fleet = fleet
         self.idle: dict[str, list[KeptConnection]] = {}
-        self.trust: dict[str, IdleTrust] = {}
+        self.reuse_limits: dict[str, ReuseLimit] = {}
         self.opened = 0
 
     def take(self, endpoint: gateway.Endpoint) -> Connection | None:
@@ -76,29 +76,29 @@
             if (
                 connection.channel.peer_gone
                 or connection.expires_at <= now
-                or idle_seconds > self.trusted_seconds(endpoint.service, now)
+                or idle_seconds > self.reuse_limit_seconds(endpoint.service, now)
             ):
                 connection.channel.abort()
                 continue
             return Connection(connection.channel, idle_seconds)
         return None
 
-    def trusted_seconds(self, service: str, now: float) -> float:
+    def reuse_limit_seconds(self, service: str, now: float) -> float:
         """Return how long a connection to an endpoint of a service may have rested."""
-        trust = self.trust.get(service)
+        trust = self.reuse_limits.get(service)
         if trust is None:
-            return LONGEST_KEEP_SECONDS
-        spans = (now - trust.since) // TRUST_SPAN_SECONDS
-        return trust.seconds * math.pow(2.0, min(spans, MOST_SPANS))
+            return MAX_IDLE_SECONDS
+        spans = (now - trust.since) // REUSE_LIMIT_DOUBLING_SECONDS
+        return trust.seconds * math.pow(2.0, min(spans, MAX_REUSE_LIMIT_DOUBLINGS))
 
     def note_dropped(self, endpoint: gateway.Endpoint, idle_seconds: float) -> None:
         """Note that an endpoint had dropped a connection that rested for this long."""
         now = clocks.boot_time()
         seconds = min(
-            self.trusted_seconds(endpoint.service, now),
-            max(SHORTEST_TRUST_SECONDS, DROP_FACTOR * idle_seconds),
+            self.reuse_limit_seconds(endpoint.service, now),
+            max(MIN_REUSE_LIMIT_SECONDS, REUSE_LIMIT_FRACTION * idle_seconds),
         )
-        self.trust[endpoint.service] = IdleTrust(seconds, now)
+        self.reuse_limits[endpoint.service] = ReuseLimit(seconds, now)
         LOGGER.log(
             events.Event.IDLE_CONNECTION_DROPPED,
             endpoint=endpoint.id,
@@ -112,23 +112,23 @@
     ) -> None:
         """Keep a connection for the next request."""
         now = clocks.boot_time()
-        limit = DEFAULT_KEEP_SECONDS
+        limit = DEFAULT_IDLE_SECONDS
         if keep_seconds is not None:
-            limit = min(LONGEST_KEEP_SECONDS, keep_seconds - KEEP_ALIVE_MARGIN_SECONDS)
+            limit = min(MAX_IDLE_SECONDS, keep_seconds - KEEP_ALIVE_MARGIN_SECONDS)
         kept = self.idle.setdefault(endpoint.id, [])
-        if limit <= 0 or len(kept) >= self.most_kept(endpoint.service):
+        if limit <= 0 or len(kept) >= self.idle_limit(endpoint.service):
             channel.abort()
             return
         kept.append(KeptConnection(channel, now, now + limit))
 
-    def most_kept(self, service_name: str) -> int:
+    def idle_limit(self, service_name: str) -> int:
         """Return how many idle connections to an endpoint this process may keep."""
         configuration = self.fleet.configuration
         service = configuration.services.get(service_name) if configuration else None
         if service is None:
             return 0
-        share = IDLE_SHARE * service.max_connections / len(self.fleet.live_gateways)
-        return min(KEPT_CONNECTIONS, max(1, int(share)))
+        share = IDLE_CONNECTIONS_FRACTION * service.max_connections / len(self.fleet.live_gateways)
+        return min(MAX_IDLE_CONNECTIONS, max(1, int(share)))
 
     def expire(self, known: set[str]) -> None:
         """Close idle connections that are too old or lead to endpoints that are gone."""
@@ -175,10 +175,10 @@
             self.exchange.channel.abort()
 
 
-class Caller:
+class EndpointClient:
     """Sends requests to endpoints."""
 
-    def __init__(self, fleet: fleet_module.Fleet, codec: sources.RequestCodec) -> None:
+    def __init__(self, fleet: fleet_module.FleetState, codec: sources.RequestCodec) -> None:
         self.fleet = fleet
         self.codec = codec
         self.pool = ConnectionPool(fleet)
@@ -244,7 +244,7 @@
         """Return the head of the answer to this request, dropping answers to others."""
         for _ in range(STRAY_ANSWERS + 1):
             answer = await exchange.read_head()
-            marks = self.codec.decode_answer(answer.status, answer.headers)
+            marks = self.codec.decode_response_head(answer.status, answer.headers)
             if marks.request_id in (None, request_id):
                 return answer, marks
             LOGGER.log(
--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -19,7 +19,7 @@
 LOGGER = logs.get_logger(__name__)
 
 
-class Fleet:
+class FleetState:
     """The beliefs of one process. Times are seconds of ``clocks.boot_time``."""
 
     def __init__(self, settings: gateway.GatewaySettings) -> None:
@@ -29,7 +29,7 @@
         # The configuration in force was the newest at this moment, as the store said.
         self.configuration_proven_at = 0.0
         # The newest version that a peer has; its content comes from the store.
-        self.newest_version_told = 0
+        self.newest_peer_version = 0
         self.endpoints_known = False
         self.table = endpoint_table.EndpointTable()
         self.loads = load_board.LoadBoard()
@@ -37,7 +37,7 @@
         self.health = endpoint_health.HealthBook()
         # Tokens of the requests that began, and of all that arrived.
         self.usage = team_usage.TeamUsage()
-        self.asked = team_usage.TeamUsage()
+        self.demand = team_usage.TeamUsage()
         self.pace = cold_pace.ColdPace()
         self.budgets: dict[str, repeats.RepeatBudget] = {}
         self.view = placement.PlacementView(self.loads, self.caches, self.health)
@@ -47,7 +47,7 @@
         self.known_gateways = 1
         self.routes_by_host: dict[str, list[gateway.Route]] = {}
 
-    def take_settings(self, settings: gateway.GatewaySettings) -> None:
+    def apply_settings(self, settings: gateway.GatewaySettings) -> None:
         """Take over changed settings."""
         self.settings = settings
         for budget in self.budgets.values():
@@ -55,7 +55,7 @@
             budget.slack = settings.bounds.repeat_slack
             budget.window = settings.bounds.repeat_window_seconds
 
-    def take_configuration(
+    def apply_configuration(
         self, configuration: gateway.FleetConfiguration, proven_at: float, source: str
     ) -> bool:
         """Put a configuration in force unless it is older; returns whether it changed."""
@@ -92,7 +92,7 @@
             routes = self.routes_by_host.get(host.partition(":")[0], [])
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
-    def keys_provable(self, now: float) -> bool:
+    def proof_is_fresh(self, now: float) -> bool:
         """Whether the known keys were valid recently enough to let a request run."""
         allowed_age = self.settings.bounds.revoke_seconds - REVOKE_MARGIN_SECONDS
         return now - self.configuration_proven_at < allowed_age
@@ -122,7 +122,7 @@
         for change in self.table.apply(found, complete, clocks.boot_time()):
             self.note_change(change)
 
-    def tick(self) -> None:
+    def drop_expired_endpoints(self) -> None:
         """Drop endpoints whose grace after an outage is over."""
         changes: list[endpoint_table.Change] = []
         self.table.drop_missing(clocks.boot_time(), changes)
--- a/src/masticward/gateway/followers.py
+++ b/src/masticward/gateway/followers.py
@@ -25,7 +25,7 @@
     def __init__(
         self,
         source: sources.FleetSource,
-        fleet: fleet_module.Fleet,
+        fleet: fleet_module.FleetState,
         kind: sources.ObjectKind,
     ) -> None:
         self.source = source
@@ -36,7 +36,7 @@
         self.away_since = 0.0
         self.answered_at = clocks.boot_time()
         # Set when others know what this process does not: the watch may hang.
-        self.list_again = asyncio.Event()
+        self.relist_requested = asyncio.Event()
 
     async def run(self) -> None:
         """Follow until cancelled."""
@@ -46,7 +46,7 @@
             asked_at = clocks.boot_time()
             try:
                 if revision is None:
-                    self.list_again.clear()
+                    self.relist_requested.clear()
                     listing = await self.source.list_objects(self.kind)
                 else:
                     watched = await self.watch(revision)
@@ -74,7 +74,7 @@
     async def watch(self, revision: int) -> sources.Listing | None:
         """Return the changes after a revision; None if everything has to be listed again."""
         watch = asyncio.ensure_future(self.source.watch(self.kind, revision, WAIT_SECONDS))
-        again = asyncio.ensure_future(self.list_again.wait())
+        again = asyncio.ensure_future(self.relist_requested.wait())
         try:
             await asyncio.wait((watch, again), return_when=asyncio.FIRST_COMPLETED)
             if not watch.done():
@@ -110,7 +110,7 @@
     def apply(self, listing: sources.Listing, asked_at: float) -> None:
         """Hand an answer to the beliefs."""
         if self.kind is sources.ObjectKind.CONFIGURATION:
-            self.apply_configuration(listing, asked_at)
+            self.apply_configuration_listing(listing, asked_at)
         elif self.kind is sources.ObjectKind.ENDPOINTS:
             if listing.complete or listing.items:
                 self.fleet.apply_endpoints(
@@ -122,7 +122,7 @@
                 [(item.name, not item.removed) for item in listing.items], listing.complete
             )
 
-    def apply_configuration(self, listing: sources.Listing, asked_at: float) -> None:
+    def apply_configuration_listing(self, listing: sources.Listing, asked_at: float) -> None:
         """Put a configuration in force, or prove the present one again."""
         found = [
             item.value
@@ -130,13 +130,13 @@
             if isinstance(item.value, gateway.FleetConfiguration)
         ]
         for configuration in found:
-            self.fleet.take_configuration(configuration, asked_at, "store")
+            self.fleet.apply_configuration(configuration, asked_at, "store")
         if not found and not listing.items and not listing.complete:
             self.fleet.configuration_proven_at = max(self.fleet.configuration_proven_at, asked_at)
 
 
 def create_followers(
-    source: sources.FleetSource, fleet: fleet_module.Fleet
+    source: sources.FleetSource, fleet: fleet_module.FleetState
 ) -> dict[sources.ObjectKind, Follower]:
     """Return one follower for each kind of objects."""
     return {
--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -12,12 +12,12 @@
 LOGGER = logs.get_logger(__name__)
 
 
-class Front(http1_server.RequestHandler):
+class ClientRequestHandler(http1_server.RequestHandler):
     """Answers clients' requests."""
 
-    def __init__(self, tools: request_path.RequestTools) -> None:
-        self.tools = tools
-        self.fleet = tools.fleet
+    def __init__(self, dependencies: request_path.RequestDependencies) -> None:
+        self.dependencies = dependencies
+        self.fleet = dependencies.fleet
 
     def limits(self) -> gateway.ClientLimits:
         """Return what clients may send now."""
@@ -26,7 +26,7 @@
 
     def note_protocol_error(self, status: int, detail: str) -> None:
         """Count and log a request that could not be read."""
-        self.tools.meters.note_outcome("unreadable", status)
+        self.dependencies.meters.note_outcome("unreadable", status)
         LOGGER.log(events.Event.REQUEST_UNREADABLE, status=status, detail=detail)
 
     async def handle(
@@ -35,20 +35,20 @@
         """Answer one request."""
         request_id = None
         try:
-            terms = self.tools.codec.decode_request(
+            terms = self.dependencies.codec.decode_request(
                 request.method, request.target, request.headers, request.arrived_at
             )
             request_id = terms.request_id
             route, team = self.check(terms)
-            await request_path.RequestPath(
-                self.tools, terms, route, team, request.body, responder
+            await request_path.ProxiedRequest(
+                self.dependencies, terms, route, team, request.body, responder
             ).run()
         except errors.BadRequestError as error:
-            await self.refuse(responder, request_id, request_path.Refusal(400, str(error)))
-        except request_path.Refusal as refusal:
+            await self.refuse(responder, request_id, request_path.RefusalError(400, str(error)))
+        except request_path.RefusalError as refusal:
             await self.refuse(responder, request_id, refusal)
         except asyncio.CancelledError:
-            self.tools.meters.note_outcome("client left", 0)
+            self.dependencies.meters.note_outcome("client left", 0)
             LOGGER.log(events.Event.CLIENT_LEFT, request_id=request_id)
             raise
 
@@ -56,10 +56,10 @@
         self,
         responder: http1_server.Responder,
         request_id: str | None,
-        refusal: request_path.Refusal,
+        refusal: request_path.RefusalError,
     ) -> None:
         """Write an answer of the gateway's own."""
-        self.tools.meters.note_outcome("refused", refusal.status)
+        self.dependencies.meters.note_outcome("refused", refusal.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_REFUSED,
             request_id=request_id,
@@ -67,26 +67,28 @@
             reason=refusal.reason,
             retry_after=refusal.retry_after_seconds,
         )
-        headers = self.tools.codec.refusal_headers(request_id, refusal.retry_after_seconds)
+        headers = self.dependencies.codec.refusal_headers(request_id, refusal.retry_after_seconds)
         await responder.send(refusal.status, headers, b"")
 
     def check(self, terms: gateway.RequestTerms) -> tuple[gateway.Route, str | None]:
-        """Return route and team of a request; raises Refusal."""
+        """Return route and team of a request; raises RefusalError."""
         fleet = self.fleet
         configuration = fleet.configuration
         if configuration is None or not fleet.endpoints_known:
-            raise request_path.Refusal(503, "no configuration yet", NO_CONFIGURATION_RETURN_SECONDS)
+            raise request_path.RefusalError(
+                503, "no configuration yet", NO_CONFIGURATION_RETURN_SECONDS
+            )
         route = fleet.find_route(terms.host, terms.path)
-        provable = fleet.keys_provable(clocks.boot_time())
+        provable = fleet.proof_is_fresh(clocks.boot_time())
         if route is None:
             if not provable:
-                raise request_path.Refusal(
+                raise request_path.RefusalError(
                     503, "configuration too old", request_path.STALE_KEYS_RETURN_SECONDS
                 )
-            raise request_path.Refusal(404, "no route")
+            raise request_path.RefusalError(404, "no route")
         team = fleet.team_of(terms.api_key)
         if configuration.team_of_key is not None and not route.public:
             request_path.check_keys_provable(fleet)
             if team is None:
-                raise request_path.Refusal(401, "unknown key")
+                raise request_path.RefusalError(401, "unknown key")
         return route, team
--- a/src/masticward/gateway/peering.py
+++ b/src/masticward/gateway/peering.py
@@ -41,26 +41,26 @@
 
     __slots__ = (
         "echo",
-        "figures",
-        "heard_at",
         "incarnation",
         "instance_id",
         "ip",
+        "last_report",
         "listing_since",
         "live",
+        "received_at",
     )
 
     def __init__(self, instance_id: str, ip: str) -> None:
         self.instance_id = instance_id
         self.ip = ip
         self.incarnation = 0
-        self.heard_at = -1e9
+        self.received_at = -1e9
         # The newest send time that the peer told, on the peer's clock.
         self.echo = 0.0
         self.live = False
         # Since when the peer has told the same digest of its listing.
         self.listing_since = 0.0
-        self.figures: gateway_peers.PeerFigures | None = None
+        self.last_report: gateway_peers.PeerFigures | None = None
 
 
 class Peering(asyncio.DatagramProtocol):
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        fleet: fleet_module.Fleet,
+        fleet: fleet_module.FleetState,
         source: sources.FleetSource,
         on_difference: collections.abc.Callable[[], None] = lambda: None,
     ) -> None:
@@ -80,7 +80,7 @@
         self.incarnation = identifiers.new_incarnation()
         self.peers: dict[str, Peer] = {}
         self.seeds: list[str] = []
-        self.take_settings(fleet.settings)
+        self.apply_settings(fleet.settings)
         self.transport: asyncio.DatagramTransport | None = None
         self.rounds = 0
         self.stopping = False
@@ -90,7 +90,7 @@
         # Told in changes; told once more with the next figures, because datagrams get lost.
         self.told_prompts: list[tuple[str, list[tuple[int, int]]]] = []
 
-    def take_settings(self, settings: gateway.GatewaySettings) -> None:
+    def apply_settings(self, settings: gateway.GatewaySettings) -> None:
         """Take over the addresses at which other gateways may be found."""
         self.seeds = [ip for ip in settings.seed_ips if ip != settings.ip]
 
@@ -107,7 +107,7 @@
     def error_received(self, exc: Exception) -> None:
         """Ignore what the network says of single datagrams; silence shows a lost peer."""
 
-    def note_prompt(self, endpoint_id: str, keys: list[tuple[int, int]]) -> None:
+    def announce_prompt(self, endpoint_id: str, keys: list[tuple[int, int]]) -> None:
         """Tell the peers of a prompt that was sent to an engine; its last part is not shared."""
         self.new_work = True
         if len(keys) > 1:
@@ -116,9 +116,9 @@
     async def run(self) -> None:
         """Send figures until cancelled."""
         while True:
-            self.note_silence()
+            self.update_liveness()
             self.compare_listings()
-            self.send_round()
+            self.send_reports()
             live = max(1, len(self.fleet.live_gateways) - 1)
             await asyncio.sleep(max(SHORTEST_INTERVAL_SECONDS, live / DATAGRAMS_PER_SECOND))
 
@@ -181,20 +181,20 @@
             self.fleet.known_gateways = len(self.peers) + 1
         return peer
 
-    def note_silence(self) -> None:
+    def update_liveness(self) -> None:
         """Bring the list of live gateways up to date."""
         now = clocks.boot_time()
         self.fleet.loads.drop_silent(now)
         live = [self.fleet.settings.instance_id]
         for peer in self.peers.values():
-            heard = now - peer.heard_at <= LIVE_SECONDS
+            heard = now - peer.received_at <= LIVE_SECONDS
             if heard != peer.live:
                 peer.live = heard
                 event = events.Event.PEER_HEARD if heard else events.Event.PEER_LOST
                 LOGGER.log(
-                    event, peer=peer.instance_id, silent_seconds=round(now - peer.heard_at, 2)
+                    event, peer=peer.instance_id, silent_seconds=round(now - peer.received_at, 2)
                 )
-            stopping = peer.figures is not None and peer.figures.stopping
+            stopping = peer.last_report is not None and peer.last_report.stopping
             if heard and not stopping:
                 live.append(peer.instance_id)
         self.fleet.live_gateways = live
@@ -205,25 +205,25 @@
         if not self.fleet.endpoints_known or now - self.compared_at < LISTING_SECONDS:
             return
         own = self.fleet.table.digest()
-        live = [peer for peer in self.peers.values() if peer.live and peer.figures is not None]
+        live = [peer for peer in self.peers.values() if peer.live and peer.last_report is not None]
         others = [
             peer
             for peer in live
-            if peer.figures is not None
-            and peer.figures.listing_digest not in (0, own)
+            if peer.last_report is not None
+            and peer.last_report.listing_digest not in (0, own)
             and now - peer.listing_since > DIFFERENCE_SECONDS
         ]
         if others and 2 * len(others) >= len(live):
             self.compared_at = now
             self.on_difference()
 
-    def send_round(self) -> None:
+    def send_reports(self) -> None:
         """Send one datagram to each live gateway, now and then also to the others."""
         transport = self.transport
         if transport is None:
             return
         self.rounds += 1
-        raw = gateway_peers.encode_content(self.own_figures())
+        raw = gateway_peers.encode_content(self.build_report())
         every = self.rounds % SILENT_EVERY == 1
         for peer in self.peers.values():
             if peer.live or every:
@@ -247,12 +247,12 @@
         if self.transport is not None and len(data) <= gateway_peers.MAXIMUM_DATAGRAM_BYTES:
             self.transport.sendto(data, (ip, self.fleet.settings.peer_port))
 
-    def own_figures(self) -> gateway_peers.PeerFigures:
+    def build_report(self) -> gateway_peers.PeerFigures:
         """Return what this process tells."""
         fleet = self.fleet
         now = clocks.boot_time()
         fleet.usage.decay(now)
-        fleet.asked.decay(now)
+        fleet.demand.decay(now)
         prompts = self.told_prompts + self.new_prompts
         # What no change has told yet is told twice, too.
         self.told_prompts, self.new_prompts = self.new_prompts, []
@@ -274,7 +274,7 @@
                 for endpoint_id, load in fleet.loads.own.items()
             },
             usage=fleet.usage.told(),
-            asked=fleet.asked.told(),
+            asked=fleet.demand.told(),
             prompts=prompts,
             members=members,
         )
@@ -288,11 +288,11 @@
             return
         now = clocks.boot_time()
         if isinstance(content, gateway_peers.PeerChanges):
-            self.note_changes(message, content, now)
+            self.apply_changes(message, content, now)
         else:
-            self.note_figures(message, content, now)
+            self.apply_report(message, content, now)
 
-    def note_changes(
+    def apply_changes(
         self, message: gateway_peers.PeerMessage, changes: gateway_peers.PeerChanges, now: float
     ) -> None:
         """Take over changes of a peer whose figures are known."""
@@ -302,12 +302,12 @@
         if message.sent_at <= peer.echo:
             return  # overtaken by a newer datagram
         peer.echo = message.sent_at
-        peer.heard_at = now
+        peer.received_at = now
         loads = {key: load_board.EndpointLoad(*value) for key, value in changes.loads.items()}
         self.fleet.loads.note_peer_changes(peer.instance_id, loads, now)
-        self.note_prompts(changes.prompts)
+        self.apply_prompts(changes.prompts)
 
-    def note_figures(
+    def apply_report(
         self, message: gateway_peers.PeerMessage, figures: gateway_peers.PeerFigures, now: float
     ) -> None:
         """Take over all figures of a peer."""
@@ -315,33 +315,33 @@
         if peer is None:
             return
         # A start after the time of day was set back has a lower number than the one before it.
-        heard_lately = now - peer.heard_at <= LIVE_SECONDS
+        heard_lately = now - peer.received_at <= LIVE_SECONDS
         if figures.incarnation < peer.incarnation and heard_lately:
             return
         if figures.incarnation == peer.incarnation and message.sent_at <= peer.echo:
             return  # overtaken by a newer datagram
         peer.incarnation = figures.incarnation
         peer.echo = message.sent_at
-        peer.heard_at = now
-        before = peer.figures
+        peer.received_at = now
+        before = peer.last_report
         if before is None or before.listing_digest != figures.listing_digest:
             peer.listing_since = now
-        peer.figures = figures
+        peer.last_report = figures
         fleet = self.fleet
-        fleet.newest_version_told = max(fleet.newest_version_told, figures.configuration_version)
+        fleet.newest_peer_version = max(fleet.newest_peer_version, figures.configuration_version)
         fleet.loads.note_peer(
             peer.instance_id,
             {key: load_board.EndpointLoad(*value) for key, value in figures.loads.items()},
             now,
         )
         fleet.usage.note_peer(peer.instance_id, figures.usage, now)
-        fleet.asked.note_peer(peer.instance_id, figures.asked, now)
-        self.note_prompts(figures.prompts)
+        fleet.demand.note_peer(peer.instance_id, figures.asked, now)
+        self.apply_prompts(figures.prompts)
         self.note_proof(message, figures, now)
         for instance_id, ip in figures.members:
             self.add(instance_id, ip)
 
-    def note_prompts(self, prompts: list[tuple[str, list[tuple[int, int]]]]) -> None:
+    def apply_prompts(self, prompts: list[tuple[str, list[tuple[int, int]]]]) -> None:
         """Remember which engines have read a peer's prompts."""
         fleet = self.fleet
         for endpoint_id, keys in prompts:
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -30,7 +30,7 @@
 LONGEST_RETURN_SECONDS = 1.5
 
 
-class Refused(msgspec.Struct, frozen=True):
+class PlacementRefusal(msgspec.Struct, frozen=True):
     """A request that surely does not run; the caller may come back after a time."""
 
     reason: str
@@ -43,7 +43,7 @@
     over_share: bool
 
 
-class Waiting:
+class WaitingRequest:
     """One request that needs an endpoint."""
 
     __slots__ = (
@@ -79,7 +79,7 @@
         self.in_time_until = terms.arrived_at + IN_TIME_SHARE * route.target_latency_seconds
         self.keys = prompt_cache.chain_keys(terms.parts)
         self.excluded: set[str] = set()
-        self.future: asyncio.Future[placement.Choice | Refused] | None = None
+        self.future: asyncio.Future[placement.Choice | PlacementRefusal] | None = None
 
 
 class Pool:
@@ -105,7 +105,7 @@
             )
             self.busy = placement.busy_share(self.states)
 
-    def choose(self, request: Waiting, over: dict[str, float]) -> placement.Choice | None:
+    def choose(self, request: WaitingRequest, over: dict[str, float]) -> placement.Choice | None:
         """Return the best endpoint for a request; ``over`` has the teams above their share."""
         if self.engine is None:
             candidates = self.candidates
@@ -160,11 +160,11 @@
 
     def __init__(
         self,
-        fleet: fleet_module.Fleet,
+        fleet: fleet_module.FleetState,
         on_prompt: collections.abc.Callable[[str, list[tuple[int, int]]], None],
     ) -> None:
         self.fleet = fleet
-        self.waiting: dict[str, list[Waiting]] = {}
+        self.queues: dict[str, list[WaitingRequest]] = {}
         self.pumped_at = 0.0
         self.pause_seconds = PUMP_SECONDS
         self.on_prompt = on_prompt
@@ -173,17 +173,17 @@
         """Look at the waiting requests from time to time, until cancelled."""
         while True:
             started = clocks.boot_time()
-            for service in list(self.waiting):
+            for service in list(self.queues):
                 self.pump(service)
             spent = clocks.boot_time() - started
             self.pause_seconds = max(PUMP_SECONDS, spent / LOOKING_SHARE)
             await asyncio.sleep(self.pause_seconds)
 
-    async def place(self, request: Waiting) -> placement.Choice | Refused:
+    async def place(self, request: WaitingRequest) -> placement.Choice | PlacementRefusal:
         """Wait until the request has an endpoint or is refused."""
-        queue = self.waiting.setdefault(request.service, [])
+        queue = self.queues.setdefault(request.service, [])
         request.future = asyncio.get_running_loop().create_future()
-        self.fleet.asked.note(
+        self.fleet.demand.note(
             request.team, team_usage.charged_tokens(request.terms), clocks.boot_time()
         )
         queue.append(request)
@@ -203,13 +203,13 @@
 
     def pump(self, service: str) -> None:
         """Give endpoints to the waiting requests of a service and refuse hopeless ones."""
-        queue = self.waiting.get(service)
+        queue = self.queues.get(service)
         if not queue:
-            self.waiting.pop(service, None)
+            self.queues.pop(service, None)
             return
         now = self.pumped_at = clocks.boot_time()
         usage = self.fleet.usage.totals(now)
-        asked = self.fleet.asked.totals(now)
+        asked = self.fleet.demand.totals(now)
         over = team_usage.excess_of_share(asked, usage)
         speed = self.read_speed(service, asked, now)
         queue.sort(
@@ -254,22 +254,22 @@
         """
         engines = max(1, len(self.fleet.table.usable(service, now)))
         total = sum(asked.values())
-        part = sum(self.fleet.asked.own.values()) / total if total > 0 else 1.0
+        part = sum(self.fleet.demand.own.values()) / total if total > 0 else 1.0
         part = min(1.0, max(part, 1.0 / len(self.fleet.live_gateways)))
         return placement.READ_TOKENS_PER_SECOND * engines * part
 
     def refuse(
         self,
-        request: Waiting,
+        request: WaitingRequest,
         candidates: list[gateway.Endpoint],
         ahead: int,
         speed: float,
         over: dict[str, float],
-    ) -> Refused:
+    ) -> PlacementRefusal:
         """Return a refusal with a time to come back."""
         wait = ahead / speed
         spread = 1.0 + RETURN_SPREAD * random.random()
-        return Refused(
+        return PlacementRefusal(
             reason="no capacity in time" if candidates else "no endpoint",
             retry_after_seconds=min(
                 LONGEST_RETURN_SECONDS, (wait + SHORTEST_RETURN_SECONDS) * spread
@@ -310,13 +310,13 @@
         own_id = self.fleet.settings.instance_id
         return self.fleet.pace.may_send(endpoint.id, rate, own_id, gateways, now)
 
-    def release(self, request: Waiting, placed: placement.Choice | Refused) -> None:
+    def release(self, request: WaitingRequest, placed: placement.Choice | PlacementRefusal) -> None:
         """Take back the reservation of a request that will not be sent."""
         if isinstance(placed, placement.Choice):
             memory_tokens = request.terms.prompt_tokens + request.terms.output_tokens
             self.fleet.loads.end(placed.endpoint.id, memory_tokens, placed.unread_tokens)
 
-    def reserve(self, request: Waiting, choice: placement.Choice, now: float) -> None:
+    def reserve(self, request: WaitingRequest, choice: placement.Choice, now: float) -> None:
         """Count a request at its endpoint before it is sent."""
         fleet = self.fleet
         endpoint = choice.endpoint
--- a/src/masticward/gateway/prover.py
+++ b/src/masticward/gateway/prover.py
@@ -25,7 +25,7 @@
     def __init__(
         self,
         source: sources.FleetSource,
-        fleet: fleet_module.Fleet,
+        fleet: fleet_module.FleetState,
         follower: followers.Follower,
         on_proof: collections.abc.Callable[[], None],
     ) -> None:
@@ -48,7 +48,7 @@
         fleet = self.fleet
         if fleet.configuration is None or now - self.asked_at < RETRY_SECONDS:
             return False
-        if fleet.newest_version_told > fleet.configuration.version:
+        if fleet.newest_peer_version > fleet.configuration.version:
             return True
         return now - fleet.configuration_proven_at > self.renew_age
 
@@ -65,5 +65,5 @@
                 error=str(error),
             )
             return
-        self.follower.apply_configuration(listing, asked_at)
+        self.follower.apply_configuration_listing(listing, asked_at)
         self.on_proof()
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -31,7 +31,7 @@
 StepT = typing.TypeVar("StepT")
 
 
-class Refusal(errors.MasticwardError):
+class RefusalError(errors.MasticwardError):
     """Raised when a request is answered by the gateway itself."""
 
     def __init__(self, status: int, reason: str, retry_after_seconds: float | None = None) -> None:
@@ -53,46 +53,46 @@
         self.last_event_id = last_event_id
 
 
-class RequestTools:
+class RequestDependencies:
     """What all requests of a process share."""
 
-    __slots__ = ("caller", "codec", "fleet", "meters", "placer")
+    __slots__ = ("codec", "endpoint_client", "fleet", "meters", "placer")
 
     def __init__(
         self,
-        fleet: fleet_module.Fleet,
+        fleet: fleet_module.FleetState,
         codec: sources.RequestCodec,
         request_placer: placer.Placer,
-        caller: calls.Caller,
+        endpoint_client: calls.EndpointClient,
         meters: gateway_metrics.GatewayMeters,
     ) -> None:
         self.fleet = fleet
         self.codec = codec
         self.placer = request_placer
-        self.caller = caller
+        self.endpoint_client = endpoint_client
         self.meters = meters
 
 
-def check_keys_provable(fleet: fleet_module.Fleet) -> None:
-    """Raise Refusal if a key may have been taken away without this process knowing."""
-    if not fleet.keys_provable(clocks.boot_time()):
-        raise Refusal(503, "keys cannot be proven", STALE_KEYS_RETURN_SECONDS)
+def check_keys_provable(fleet: fleet_module.FleetState) -> None:
+    """Raise RefusalError if a key may have been taken away without this process knowing."""
+    if not fleet.proof_is_fresh(clocks.boot_time()):
+        raise RefusalError(503, "keys cannot be proven", STALE_KEYS_RETURN_SECONDS)
 
 
-class RequestPath:
+class ProxiedRequest:
     """One request on its way to endpoints and back."""
 
     def __init__(
         self,
-        tools: RequestTools,
+        dependencies: RequestDependencies,
         terms: gateway.RequestTerms,
         route: gateway.Route,
         team: str | None,
         body: bytes,
         responder: http1_server.Responder,
     ) -> None:
-        self.tools = tools
-        self.fleet = tools.fleet
+        self.dependencies = dependencies
+        self.fleet = dependencies.fleet
         self.terms = terms
         self.route = route
         self.team = team
@@ -103,7 +103,7 @@
         self.final_at = min(
             terms.deadline - ANSWER_MARGIN_SECONDS, terms.arrived_at + route.timeout_seconds
         )
-        self.waiting = placer.Waiting(
+        self.waiting = placer.WaitingRequest(
             terms,
             route,
             self.service,
@@ -115,13 +115,13 @@
         )
 
     async def run(self) -> None:
-        """Serve the request; raises Refusal."""
+        """Serve the request; raises RefusalError."""
         self.fleet.budget(self.service).note_request(clocks.boot_time())
         try:
             async with asyncio.timeout(max(0.0, self.final_at - clocks.boot_time())):
                 while not await self.attempt():
                     pass
-        except Refusal as refusal:
+        except RefusalError as refusal:
             if not self.progress.started_client:
                 raise
             self.note_cut("cut by endpoint", refusal.reason)
@@ -130,13 +130,13 @@
                 self.note_cut("cut at deadline", "deadline")
                 return
             if self.progress.runs:
-                raise Refusal(504, "deadline passed after a send") from None
-            raise Refusal(503, "deadline passed", placer.SHORTEST_RETURN_SECONDS) from None
+                raise RefusalError(504, "deadline passed after a send") from None
+            raise RefusalError(503, "deadline passed", placer.SHORTEST_RETURN_SECONDS) from None
 
     async def attempt(self) -> bool:
         """Make one attempt; returns False if another should follow."""
-        placed = await self.tools.placer.place(self.waiting)
-        if isinstance(placed, placer.Refused):
+        placed = await self.dependencies.placer.place(self.waiting)
+        if isinstance(placed, placer.PlacementRefusal):
             LOGGER.log(
                 events.Event.NO_ENDPOINT_IN_TIME,
                 request_id=self.terms.request_id,
@@ -170,19 +170,19 @@
             if self.progress.started_client:
                 self.note_cut("cut by endpoint", str(error))
                 return True
-            raise Refusal(502, f"endpoint failed: {error}") from error
+            raise RefusalError(502, f"endpoint failed: {error}") from error
         finally:
             held.end()
 
-    def give_up(self, reason: str, retry_after_seconds: float) -> Refusal:
+    def give_up(self, reason: str, retry_after_seconds: float) -> RefusalError:
         """Return the final answer of a request that gets no further endpoint."""
         if self.progress.runs:
-            return Refusal(502, f"{reason} after a failed attempt")
-        return Refusal(503, reason, retry_after_seconds)
+            return RefusalError(502, f"{reason} after a failed attempt")
+        return RefusalError(503, reason, retry_after_seconds)
 
     def note_cut(self, outcome: str, reason: str) -> None:
         """Count and log a stream whose head was sent and whose end is missing."""
-        self.tools.meters.note_outcome(outcome, 0)
+        self.dependencies.meters.note_outcome(outcome, 0)
         LOGGER.log(events.Event.STREAM_CUT, request_id=self.terms.request_id, reason=reason)
 
     def may_repeat(self) -> bool:
@@ -191,7 +191,7 @@
 
     def note_failure(self, endpoint: gateway.Endpoint, outcome: str, detail: str) -> None:
         """Log a failed attempt."""
-        self.tools.meters.attempts.labels(outcome).inc()
+        self.dependencies.meters.attempts.labels(outcome).inc()
         LOGGER.log(
             events.Event.GATEWAY_ATTEMPT_FAILED,
             request_id=self.terms.request_id,
@@ -208,13 +208,13 @@
         # A client's close that has already arrived is handled first, and cancels this request: in
         # a busy process it may lie behind the request's own bytes.
         await asyncio.sleep(0)
-        connection = await self.tools.caller.connect(endpoint)
+        connection = await self.dependencies.endpoint_client.connect(endpoint)
         now = clocks.boot_time()
         try:
             if self.team is not None:
                 check_keys_provable(self.fleet)
                 if self.fleet.team_of(self.terms.api_key) != self.team:
-                    raise Refusal(401, "the key was taken away")
+                    raise RefusalError(401, "the key was taken away")
             remaining = self.final_at - now
             if remaining < SHORTEST_ATTEMPT_SECONDS:
                 raise self.give_up("deadline passed", placer.SHORTEST_RETURN_SECONDS)
@@ -222,7 +222,7 @@
                 now, self.fleet.known_gateways
             ):
                 raise self.give_up("retry budget used up", placer.LONGEST_RETURN_SECONDS)
-        except Refusal:
+        except RefusalError:
             connection.channel.abort()
             raise
         self.progress.sends += 1
@@ -244,7 +244,7 @@
         )
         try:
             call = await self.until_silent(
-                self.tools.caller.call(
+                self.dependencies.endpoint_client.call(
                     endpoint,
                     self.terms,
                     self.team,
@@ -306,19 +306,19 @@
                 return False
         if self.progress.started_client:
             raise errors.EndpointBrokenError(f"status {answer.status} to a resumed stream")
-        headers = self.tools.codec.answer_headers(answer.headers)
+        headers = self.dependencies.codec.response_headers(answer.headers)
         await self.responder.send(answer.status, headers, body)
         if answer.status < 500:
             self.note_success(call, sent_at)
         else:
-            self.tools.meters.note_outcome("answered", answer.status)
+            self.dependencies.meters.note_outcome("answered", answer.status)
         return True
 
     def note_success(self, call: calls.Call, sent_at: float) -> None:
         """Count and log a whole answer."""
         now = clocks.boot_time()
         self.fleet.health.note_success(call.endpoint.id, now)
-        self.tools.meters.note_outcome("answered", call.answer.status)
+        self.dependencies.meters.note_outcome("answered", call.answer.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_ANSWERED,
             request_id=self.terms.request_id,
@@ -337,7 +337,7 @@
                 now = clocks.boot_time()
                 expected = held.choice.expected_seconds
                 self.fleet.health.note_speed(call.endpoint.id, now - sent_at, expected, now)
-                self.tools.meters.first_event.observe(now - self.terms.arrived_at)
+                self.dependencies.meters.first_event.observe(now - self.terms.arrived_at)
             if data is None:
                 break
             if self.route.resumable:
@@ -354,7 +354,7 @@
             return
         if not self.progress.started_client:
             self.progress.started_client = True
-            headers = self.tools.codec.answer_headers(call.answer.headers)
+            headers = self.dependencies.codec.response_headers(call.answer.headers)
             await self.responder.start(call.answer.status, headers)
         await self.responder.write(data)
 
@@ -372,7 +372,7 @@
 
     def __init__(
         self,
-        fleet: fleet_module.Fleet,
+        fleet: fleet_module.FleetState,
         endpoint_id: str,
         choice: placement.Choice,
         terms: gateway.RequestTerms,
--- a/src/masticward/gateway/snapshots.py
+++ b/src/masticward/gateway/snapshots.py
@@ -23,7 +23,7 @@
 class SnapshotHandler(http1_server.RequestHandler):
     """Serves this process's snapshot to other gateways."""
 
-    def __init__(self, fleet: fleet_module.Fleet) -> None:
+    def __init__(self, fleet: fleet_module.FleetState) -> None:
         self.fleet = fleet
 
     def limits(self) -> gateway.ClientLimits:
@@ -42,7 +42,7 @@
         await responder.send(200, [content_type], gateway_snapshots.encode(snapshot))
 
 
-def take_snapshot(fleet: fleet_module.Fleet) -> gateway_snapshots.Snapshot | None:
+def take_snapshot(fleet: fleet_module.FleetState) -> gateway_snapshots.Snapshot | None:
     """Return what this process knows from the store, None while something is missing."""
     configuration = fleet.configuration
     if configuration is None or not fleet.endpoints_known:
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        fleet: fleet_module.Fleet,
+        fleet: fleet_module.FleetState,
         peers: peering.Peering,
         by_kind: dict[sources.ObjectKind, followers.Follower],
     ) -> None:
@@ -93,7 +93,7 @@
         fleet = self.fleet
         if fleet.configuration is None or not fleet.endpoints_known:
             return True
-        if fleet.newest_version_told > fleet.configuration.version:
+        if fleet.newest_peer_version > fleet.configuration.version:
             return True
         self.listing_differs &= self.by_kind[sources.ObjectKind.ENDPOINTS].lost
         return self.listing_differs
@@ -113,14 +113,20 @@
         apply_snapshot(self.fleet, snapshot, asked_at, peer.instance_id)
         for kind in (sources.ObjectKind.ENDPOINTS, sources.ObjectKind.EVACUATIONS):
             # The store's own listing replaces the peer's as soon as there is one.
-            self.by_kind[kind].list_again.set()
+            self.by_kind[kind].relist_requested.set()
 
     def best_peer(self) -> peering.Peer | None:
         """Return a live peer with the newest configuration and the newest proof of it."""
         found = [
-            (peer.figures.configuration_version, -peer.figures.configuration_proof_age, peer)
+            (
+                peer.last_report.configuration_version,
+                -peer.last_report.configuration_proof_age,
+                peer,
+            )
             for peer in self.peers.peers.values()
-            if peer.live and peer.figures is not None and peer.figures.configuration_version > 0
+            if peer.live
+            and peer.last_report is not None
+            and peer.last_report.configuration_version > 0
         ]
         return max(found, key=lambda item: item[:2])[2] if found else None
 
@@ -146,14 +152,14 @@
 
 
 def apply_snapshot(
-    fleet: fleet_module.Fleet, snapshot: gateway_snapshots.Snapshot, asked_at: float, peer: str
+    fleet: fleet_module.FleetState, snapshot: gateway_snapshots.Snapshot, asked_at: float, peer: str
 ) -> None:
     """Take over a peer's snapshot.
 
     The peer stated the age of its proof after ``asked_at``, so the proof is not older than the age
     before that moment.
     """
-    fleet.take_configuration(snapshot.configuration, asked_at - snapshot.proof_age, peer)
+    fleet.apply_configuration(snapshot.configuration, asked_at - snapshot.proof_age, peer)
     now = clocks.boot_time()
     fleet.apply_endpoints(
         [
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -27,7 +27,7 @@
     ip: str
 
 
-class Listed(msgspec.Struct, frozen=True):
+class StoredObject(msgspec.Struct, frozen=True):
     """A stored object: ``value`` is None if it cannot be used."""
 
     name: str
@@ -38,7 +38,7 @@
 class Listing(msgspec.Struct, frozen=True):
     """Objects with the store's revision; ``complete`` is False for the changes of a watch."""
 
-    items: tuple[Listed, ...]
+    items: tuple[StoredObject, ...]
     revision: int
     complete: bool
 
@@ -94,11 +94,13 @@
         """Return the headers of the request to an endpoint."""
 
     @abc.abstractmethod
-    def decode_answer(self, status: int, headers: list[tuple[bytes, bytes]]) -> gateway.AnswerMarks:
+    def decode_response_head(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> gateway.AnswerMarks:
         """Return what the head of an endpoint's answer says."""
 
     @abc.abstractmethod
-    def answer_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+    def response_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
         """Return the headers of an endpoint's answer that a client gets."""
 
     @abc.abstractmethod
--- a/src/masticward/platform/headers.py
+++ b/src/masticward/platform/headers.py
@@ -133,7 +133,9 @@
             headers.append((names.CONTENT_LENGTH, str(body_bytes).encode()))
         return headers
 
-    def decode_answer(self, status: int, headers: list[tuple[bytes, bytes]]) -> gateway.AnswerMarks:
+    def decode_response_head(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> gateway.AnswerMarks:
         """Return what the head of an endpoint's answer says."""
         by_name = {name.lower(): value for name, value in headers}
         timeout = KEEP_ALIVE_TIMEOUT_PATTERN.search(by_name.get(names.KEEP_ALIVE, b""))
@@ -150,7 +152,7 @@
             waiting=waiting,
         )
 
-    def answer_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+    def response_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
         """Return the headers of an endpoint's answer that a client gets."""
         return [item for item in headers if item[0].lower() not in names.CONNECTION_HEADERS]
 
--- a/src/masticward/platform/store.py
+++ b/src/masticward/platform/store.py
@@ -120,7 +120,7 @@
     async def list_objects(self, kind: sources.ObjectKind) -> sources.Listing:
         """Return all objects of a kind as they are now."""
         name = KIND_NAMES[kind]
-        items: list[sources.Listed] = []
+        items: list[sources.StoredObject] = []
         after = ""
         revision: int | None = None
         while True:
@@ -173,7 +173,7 @@
 
 def decode_item(
     kind: sources.ObjectKind, document: dict[str, typing.Any], removed: bool
-) -> sources.Listed | None:
+) -> sources.StoredObject | None:
     """Return a stored object; None if not even its name can be read."""
     try:
         metadata = msgspec.convert(document.get("metadata"), Metadata)
@@ -191,4 +191,4 @@
                 name=metadata.name,
                 error=str(error),
             )
-    return sources.Listed(metadata.name, value, removed)
+    return sources.StoredObject(metadata.name, value, removed)
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -478,10 +478,10 @@
         await self.add_endpoint("e1")
         await self.start()
         key = "Authorization: Bearer key-a\r\n"
-        await self.wait_until(lambda: self.fleet.keys_provable(clocks.boot_time()))
+        await self.wait_until(lambda: self.fleet.proof_is_fresh(clocks.boot_time()))
         self.assertEqual(200, (await self.ask("keyed", extra=key)).status)
         self.store.down = True
-        await self.wait_until(lambda: not self.fleet.keys_provable(clocks.boot_time()))
+        await self.wait_until(lambda: not self.fleet.proof_is_fresh(clocks.boot_time()))
         self.assertEqual(503, (await self.ask("keyed", extra=key)).status)
         self.assertEqual(200, (await self.ask("book")).status)
 
--- a/tests/functional/test_gateway_snapshots.py
+++ b/tests/functional/test_gateway_snapshots.py
@@ -22,15 +22,15 @@
             builders.make_endpoint("e2", cold_until=now + 2.0),
             now=now - 1.0,
         )
-        self.other.take_configuration(builders.make_configuration(5), now - 1.0, "test")
+        self.other.apply_configuration(builders.make_configuration(5), now - 1.0, "test")
         self.other.apply_evacuations([("z9", True)], True)
         server = http1_server.Server(("127.0.0.1", 0), snapshots.SnapshotHandler(self.other))
         self.port = await server.start()
         self.addCleanup(server.stop_listening)
         settings = builders.make_settings(peer_port=self.port)
-        self.fleet = snapshots.fleet_module.Fleet(settings)
-        self.peers = peering.Peering(self.fleet, builders.NoStore())
-        self.by_kind = followers.create_followers(builders.NoStore(), self.fleet)
+        self.fleet = snapshots.fleet_module.FleetState(settings)
+        self.peers = peering.Peering(self.fleet, builders.UnusedStore())
+        self.by_kind = followers.create_followers(builders.UnusedStore(), self.fleet)
         self.fetcher = snapshots.SnapshotFetcher(self.fleet, self.peers, self.by_kind)
 
     def hear_peer(self, version: int = 5) -> None:
@@ -51,7 +51,7 @@
         raw = gateway_peers.encode_content(figures)
         data = gateway_peers.encode(gateway_peers.PeerMessage(clocks.boot_time(), 0.0, 0, raw))
         self.peers.datagram_received(data, ("127.0.0.1", 1))
-        self.peers.note_silence()
+        self.peers.update_liveness()
 
 
 class SnapshotTest(SnapshotCase):
@@ -70,7 +70,7 @@
         self.assertFalse(self.fetcher.behind())
 
     async def test_a_newer_configuration_than_the_own_one_is_fetched(self) -> None:
-        self.fleet.take_configuration(builders.make_configuration(3), 1.0, "test")
+        self.fleet.apply_configuration(builders.make_configuration(3), 1.0, "test")
         self.fleet.apply_endpoints([], True)
         self.assertFalse(self.fetcher.behind())
         self.hear_peer()
@@ -79,13 +79,13 @@
         self.assertEqual(5, self.fleet.configuration.version)  # type: ignore[union-attr]
 
     async def test_an_older_configuration_is_not_taken(self) -> None:
-        self.fleet.take_configuration(builders.make_configuration(7), 1.0, "test")
+        self.fleet.apply_configuration(builders.make_configuration(7), 1.0, "test")
         self.hear_peer()
         await self.fetcher.catch_up()
         self.assertEqual(7, self.fleet.configuration.version)  # type: ignore[union-attr]
 
     async def test_another_listing_is_fetched_only_while_the_store_is_lost(self) -> None:
-        self.fleet.take_configuration(builders.make_configuration(5), 1.0, "test")
+        self.fleet.apply_configuration(builders.make_configuration(5), 1.0, "test")
         self.fleet.apply_endpoints([], True)
         self.hear_peer()
         self.fetcher.listing_differs = True
@@ -95,7 +95,7 @@
         self.assertTrue(self.fetcher.behind())
         await self.fetcher.catch_up()
         self.assertEqual({"e1", "e2"}, set(self.fleet.table.endpoints))
-        self.assertTrue(self.by_kind[sources.ObjectKind.ENDPOINTS].list_again.is_set())
+        self.assertTrue(self.by_kind[sources.ObjectKind.ENDPOINTS].relist_requested.is_set())
 
     async def test_a_peer_that_knows_nothing_gives_nothing(self) -> None:
         self.other.configuration = None
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -111,11 +111,11 @@
     return gateway.Endpoint(**{**values, **changes})  # type: ignore[arg-type]
 
 
-def make_fleet(*endpoints: gateway.Endpoint, now: float = 0.0) -> fleet_module.Fleet:
+def make_fleet(*endpoints: gateway.Endpoint, now: float = 0.0) -> fleet_module.FleetState:
     """Return the beliefs of a gateway that knows the given endpoints."""
-    fleet = fleet_module.Fleet(make_settings())
+    fleet = fleet_module.FleetState(make_settings())
     fleet.started_at = now - STARTED_BEFORE_SECONDS
-    fleet.take_configuration(make_configuration(), now, "test")
+    fleet.apply_configuration(make_configuration(), now, "test")
     fleet.apply_endpoints([(item.id, item) for item in endpoints], True)
     return fleet
 
@@ -149,7 +149,7 @@
     )
 
 
-class NoStore(sources.FleetSource):
+class UnusedStore(sources.FleetSource):
     """A store that is not used."""
 
     async def list_objects(self, kind: sources.ObjectKind) -> sources.Listing:
--- a/tests/unit/test_gateway_peering.py
+++ b/tests/unit/test_gateway_peering.py
@@ -19,7 +19,7 @@
         patcher.start()
         self.addCleanup(patcher.stop)
         self.fleet = builders.make_fleet(builders.make_endpoint("e1"), now=90.0)
-        self.peering = peering.Peering(self.fleet, builders.NoStore())
+        self.peering = peering.Peering(self.fleet, builders.UnusedStore())
 
     def receive(
         self,
@@ -96,10 +96,10 @@
 
     def test_silence_takes_a_peer_out_of_the_live_gateways(self) -> None:
         self.receive()
-        self.peering.note_silence()
+        self.peering.update_liveness()
         self.assertEqual(["g1", "g2"], self.fleet.live_gateways)
         self.now += peering.LIVE_SECONDS + 0.1
-        self.peering.note_silence()
+        self.peering.update_liveness()
         self.assertEqual(["g1"], self.fleet.live_gateways)
         self.assertEqual(3, self.fleet.known_gateways)
 
@@ -129,7 +129,7 @@
             self.now += 0.1
             for name, digest in digests.items():
                 self.receive(sent_at=self.now, digest=digest, name=name)
-            self.peering.note_silence()
+            self.peering.update_liveness()
             self.peering.compare_listings()
 
     def test_a_listing_that_most_peers_know_is_fetched(self) -> None:
@@ -163,7 +163,7 @@
         patcher.start()
         self.addCleanup(patcher.stop)
         self.fleet = builders.make_fleet(now=self.now)
-        source = builders.NoStore()
+        source = builders.UnusedStore()
         follower = followers.Follower(source, self.fleet, sources.ObjectKind.CONFIGURATION)
         self.told = 0
         self.prover = prover.Prover(source, self.fleet, follower, self.note_told)
@@ -178,22 +178,24 @@
         self.assertFalse(self.prover.due(self.now))
 
     async def test_a_newer_version_that_a_peer_has_is_read_at_once(self) -> None:
-        self.fleet.newest_version_told = 9
+        self.fleet.newest_peer_version = 9
         self.assertTrue(self.prover.due(self.now))
 
     async def test_a_proof_is_read_and_told(self) -> None:
         listing = sources.Listing(
-            (sources.Listed("main", builders.make_configuration(1)),), revision=7, complete=True
+            (sources.StoredObject("main", builders.make_configuration(1)),),
+            revision=7,
+            complete=True,
         )
         self.now += 3.0
-        with unittest.mock.patch.object(builders.NoStore, "list_objects", return_value=listing):
+        with unittest.mock.patch.object(builders.UnusedStore, "list_objects", return_value=listing):
             await self.prover.prove()
         self.assertEqual([self.now, 1], [self.fleet.configuration_proven_at, self.told])
 
     async def test_a_store_that_does_not_answer_proves_nothing(self) -> None:
         self.now += 3.0
         failure = errors.StoreUnavailableError("config", "silent")
-        with unittest.mock.patch.object(builders.NoStore, "list_objects", side_effect=failure):
+        with unittest.mock.patch.object(builders.UnusedStore, "list_objects", side_effect=failure):
             await self.prover.prove()
         self.assertEqual([100.0, 0], [self.fleet.configuration_proven_at, self.told])
 
@@ -226,17 +228,17 @@
         for number in range(self.GATEWAYS):
             name, ip = f"g{number}", f"127.0.0.{number + 1}"
             fleet = builders.make_fleet(*engines, now=self.now)
-            fleet.take_settings(builders.make_settings(instance_id=name, ip=ip))
-            peers = peering.Peering(fleet, builders.NoStore())
+            fleet.apply_settings(builders.make_settings(instance_id=name, ip=ip))
+            peers = peering.Peering(fleet, builders.UnusedStore())
             peers.transport = LinkedPeers(ip, by_ip)  # type: ignore[assignment]
             by_ip[ip] = peers
-            self.gateways.append((placer.Placer(fleet, peers.note_prompt), peers))
+            self.gateways.append((placer.Placer(fleet, peers.announce_prompt), peers))
         for _ in range(2):
             for _, peers in self.gateways:
                 for ip in by_ip:
                     peers.add(f"g{int(ip.rpartition('.')[2]) - 1}", ip)
-                peers.send_round()
-                peers.note_silence()
+                peers.send_reports()
+                peers.update_liveness()
                 self.now += 0.001
 
     async def test_a_burst_over_all_gateways_is_spread_over_the_engines(self) -> None:
@@ -245,7 +247,9 @@
             terms = builders.make_terms(
                 f"q{number}", f"doc{number % 2}", 1_000, 3_000, arrived_at=self.now
             )
-            request = placer.Waiting(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+            request = placer.WaitingRequest(
+                terms, builders.make_route(), "llm", "a", self.now + 5.0
+            )
             async with asyncio.timeout(5.0):
                 choice = await gateway_placer.place(request)
             assert isinstance(choice, placement.Choice)
@@ -259,7 +263,7 @@
         gateway_placer, peers = self.gateways[0]
         other = self.gateways[1][1].fleet
         terms = builders.make_terms(arrived_at=self.now)
-        request = placer.Waiting(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+        request = placer.WaitingRequest(terms, builders.make_route(), "llm", "a", self.now + 5.0)
         async with asyncio.timeout(5.0):
             choice = await gateway_placer.place(request)
         assert isinstance(choice, placement.Choice)
@@ -275,10 +279,10 @@
 class DatagramTest(unittest.IsolatedAsyncioTestCase):
     async def test_own_figures_survive_encoding(self) -> None:
         fleet = builders.make_fleet(builders.make_endpoint("e1"))
-        own = peering.Peering(fleet, builders.NoStore())
+        own = peering.Peering(fleet, builders.UnusedStore())
         fleet.loads.begin("e1", 5, 7)
-        own.note_prompt("e1", [(2**64 - 1, 10), (3, 20)])
-        raw = gateway_peers.encode_content(own.own_figures())
+        own.announce_prompt("e1", [(2**64 - 1, 10), (3, 20)])
+        raw = gateway_peers.encode_content(own.build_report())
         message = gateway_peers.PeerMessage(1.0, 2.0, 3, raw)
         _, figures = gateway_peers.decode(gateway_peers.encode(message))
         assert isinstance(figures, gateway_peers.PeerFigures)
--- a/tests/unit/test_gateway_state.py
+++ b/tests/unit/test_gateway_state.py
@@ -205,17 +205,17 @@
     def test_a_drop_of_days_ago_is_forgiven(self) -> None:
         # Doubling without a limit overflowed 2.8 hours after a dropped connection.
         pool = calls.ConnectionPool(builders.make_fleet())
-        pool.trust["llm"] = calls.IdleTrust(calls.SHORTEST_TRUST_SECONDS, 0.0)
-        self.assertGreater(pool.trusted_seconds("llm", 1e6), calls.LONGEST_KEEP_SECONDS)
+        pool.reuse_limits["llm"] = calls.ReuseLimit(calls.MIN_REUSE_LIMIT_SECONDS, 0.0)
+        self.assertGreater(pool.reuse_limit_seconds("llm", 1e6), calls.MAX_IDLE_SECONDS)
 
     def test_all_gateways_keep_at_most_half_of_what_an_endpoint_accepts(self) -> None:
         fleet = builders.make_fleet()
         pool = calls.ConnectionPool(fleet)
-        self.assertEqual(calls.KEPT_CONNECTIONS, pool.most_kept("llm"))
+        self.assertEqual(calls.MAX_IDLE_CONNECTIONS, pool.idle_limit("llm"))
         fleet.live_gateways = [f"g{number}" for number in range(25)]
-        self.assertLessEqual(25 * pool.most_kept("llm"), 370 * calls.IDLE_SHARE)
+        self.assertLessEqual(25 * pool.idle_limit("llm"), 370 * calls.IDLE_CONNECTIONS_FRACTION)
         fleet.live_gateways = [f"g{number}" for number in range(410)]
-        self.assertEqual(1, pool.most_kept("llm"))
+        self.assertEqual(1, pool.idle_limit("llm"))
 
 
 class RepeatBudgetTest(unittest.TestCase):
--- a/tests/unit/test_gateway_waiting.py
+++ b/tests/unit/test_gateway_waiting.py
@@ -21,7 +21,7 @@
         self.addCleanup(patcher.stop)
         self.fleet = builders.make_fleet(builders.make_endpoint("e1"), now=self.now)
         self.placer = placer.Placer(self.fleet, lambda *_: None)
-        self.tasks: list[asyncio.Task[placement.Choice | placer.Refused]] = []
+        self.tasks: list[asyncio.Task[placement.Choice | placer.PlacementRefusal]] = []
         self.count = 0
 
     async def asyncTearDown(self) -> None:
@@ -31,11 +31,11 @@
 
     async def ask(
         self, team: str, patience: float = 5.0
-    ) -> asyncio.Task[placement.Choice | placer.Refused]:
+    ) -> asyncio.Task[placement.Choice | placer.PlacementRefusal]:
         """Start waiting with a request that shares nothing with others."""
         self.count += 1
         terms = builders.make_terms(f"q{self.count}", f"doc{self.count}", arrived_at=self.now)
-        request = placer.Waiting(
+        request = placer.WaitingRequest(
             terms, builders.make_route(), "llm", team, refuse_at=self.now + patience
         )
         task = asyncio.get_running_loop().create_task(self.placer.place(request))
@@ -49,13 +49,17 @@
         self.placer.pump("llm")
         await asyncio.sleep(0)
 
-    def served(self, tasks: list[asyncio.Task[placement.Choice | placer.Refused]]) -> int:
+    def served(self, tasks: list[asyncio.Task[placement.Choice | placer.PlacementRefusal]]) -> int:
         return sum(
             1 for task in tasks if task.done() and isinstance(task.result(), placement.Choice)
         )
 
-    def refused(self, tasks: list[asyncio.Task[placement.Choice | placer.Refused]]) -> int:
-        return sum(1 for task in tasks if task.done() and isinstance(task.result(), placer.Refused))
+    def refused(self, tasks: list[asyncio.Task[placement.Choice | placer.PlacementRefusal]]) -> int:
+        return sum(
+            1
+            for task in tasks
+            if task.done() and isinstance(task.result(), placer.PlacementRefusal)
+        )
 
 
 class FairOrderTest(WaitingCase):
@@ -82,7 +86,7 @@
     async def test_a_flood_leaves_part_of_a_busy_engine_to_others(self) -> None:
         # The others' requests may wait at other gateways, whose queues this one does not see.
         self.fleet.usage.note_peer("g2", {"flood": 500_000.0, "small": 1_000.0}, self.now)
-        self.fleet.asked.note_peer("g2", {"flood": 900_000.0, "small": 90_000.0}, self.now)
+        self.fleet.demand.note_peer("g2", {"flood": 900_000.0, "small": 90_000.0}, self.now)
         self.fleet.loads.note_peer("g2", {"e1": load_board.EndpointLoad(200, 1, 200)}, self.now)
         flood = await self.ask("flood")
         self.assertFalse(flood.done())
@@ -97,7 +101,7 @@
         engines = [builders.make_endpoint(f"e{number}") for number in range(4)]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
         self.fleet.usage.note_peer("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
-        self.fleet.asked.note_peer("g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now)
+        self.fleet.demand.note_peer("g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now)
         parts = builders.make_terms("before", "doc", 6_000).parts
         cache = self.fleet.caches.engine("e0", builders.CACHE_TOKENS)
         cache.note_read(prompt_cache.chain_keys(parts))
@@ -106,13 +110,13 @@
             self.fleet.loads.begin(name, 9_000, 9_000)
         terms = builders.make_terms("q", "doc", 6_000, 2_000, arrived_at=self.now)
         route = builders.make_route()
-        request = placer.Waiting(terms, route, "llm", "short", self.now + 5.0)
+        request = placer.WaitingRequest(terms, route, "llm", "short", self.now + 5.0)
         task = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(task)
         await asyncio.sleep(0)
         self.now += placement.PATIENT_SHARE * route.target_latency_seconds
         self.fleet.usage.note_peer("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
-        self.fleet.asked.note_peer("g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now)
+        self.fleet.demand.note_peer("g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now)
         self.placer.pump("llm")
         await asyncio.sleep(0)
         self.assertTrue(task.done())
@@ -138,13 +142,15 @@
         large = []
         for number in range(20):
             terms = builders.make_terms(f"l{number}", "doc", 39_000, arrived_at=self.now)
-            request = placer.Waiting(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+            request = placer.WaitingRequest(
+                terms, builders.make_route(), "llm", "a", self.now + 5.0
+            )
             large.append(asyncio.get_running_loop().create_task(self.placer.place(request)))
             await asyncio.sleep(0)
         self.tasks += large
         self.assertEqual(0, self.served(large))
         terms = builders.make_terms("small", "tiny", 300, 1_000, arrived_at=self.now)
-        request = placer.Waiting(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+        request = placer.WaitingRequest(terms, builders.make_route(), "llm", "a", self.now + 5.0)
         small = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(small)
         await asyncio.sleep(0)
@@ -187,7 +193,7 @@
         times = {
             task.result().retry_after_seconds
             for task in tasks
-            if task.done() and isinstance(task.result(), placer.Refused)
+            if task.done() and isinstance(task.result(), placer.PlacementRefusal)
         }
         self.assertGreater(len(times), 10)
         self.assertLessEqual(max(times), placer.LONGEST_RETURN_SECONDS)
@@ -199,14 +205,14 @@
         self.now += 0.6
         self.placer.pump("llm")
         await asyncio.sleep(0)
-        self.assertIsInstance(waiting.result(), placer.Refused)
+        self.assertIsInstance(waiting.result(), placer.PlacementRefusal)
 
     async def test_a_caller_that_leaves_while_waiting_is_forgotten(self) -> None:
         await self.ask("a")
         waiting = await self.ask("a")
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
-        self.assertEqual([], self.placer.waiting["llm"])
+        self.assertEqual([], self.placer.queues["llm"])
 
     async def test_a_caller_that_leaves_as_it_gets_an_endpoint_leaves_no_load_behind(self) -> None:
         await self.ask("a")
@@ -245,7 +251,9 @@
             fleet.started_at = self.now
             herd_placer = placer.Placer(fleet, lambda *_: None)
             terms = builders.make_terms(arrived_at=self.now)
-            request = placer.Waiting(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+            request = placer.WaitingRequest(
+                terms, builders.make_route(), "llm", "a", self.now + 5.0
+            )
             task = asyncio.get_running_loop().create_task(herd_placer.place(request))
             self.tasks.append(task)
             await asyncio.sleep(0)
@@ -283,13 +291,13 @@
 
     def test_a_proof_lasts_less_than_the_bound(self) -> None:
         fleet = builders.make_fleet(now=100.0)
-        self.assertTrue(fleet.keys_provable(104.0))
-        self.assertFalse(fleet.keys_provable(100.0 + builders.make_bounds().revoke_seconds))
+        self.assertTrue(fleet.proof_is_fresh(104.0))
+        self.assertFalse(fleet.proof_is_fresh(100.0 + builders.make_bounds().revoke_seconds))
 
     def test_an_older_configuration_proves_nothing(self) -> None:
         fleet = builders.make_fleet(now=100.0)
-        fleet.take_configuration(builders.make_configuration(3), 101.0, "test")
-        self.assertFalse(fleet.take_configuration(builders.make_configuration(2), 109.0, "peer"))
+        fleet.apply_configuration(builders.make_configuration(3), 101.0, "test")
+        self.assertFalse(fleet.apply_configuration(builders.make_configuration(2), 109.0, "peer"))
         self.assertEqual(101.0, fleet.configuration_proven_at)
 
     def test_split_routes_follow_their_weights(self) -> None:
--- a/tests/unit/test_metrics_page.py
+++ b/tests/unit/test_metrics_page.py
@@ -43,7 +43,7 @@
         )
         gateway_program = gateway_daemon.GatewayProgram(
             gateway_builders.make_settings(),
-            gateway_builders.NoStore(),
+            gateway_builders.UnusedStore(),
             headers.HeaderCodec(),
             gateway_builders.make_settings,
         )
