--- a/src/masticward/daemons/gateway.py
+++ b/src/masticward/daemons/gateway.py
@@ -73,9 +73,9 @@
         self.metrics = metrics.ProcessMetrics()
         self.fleet = fleet_module.Fleet(settings)
         self.followers = followers.create_followers(source, self.fleet)
-        self.peering = peering.Peering(self.fleet, source, self.list_again)
+        self.peering = peering.Peering(self.fleet, source, self.relist)
         self.prover = prover.Prover(
-            source, self.fleet, self.followers[sources.ObjectKind.CONFIGURATION], self.tell_proof
+            source, self.fleet, self.followers[sources.ObjectKind.CONFIGURATION], self.send_proof
         )
         self.snapshots = snapshots.SnapshotFetcher(self.fleet, self.peering, self.followers)
         self.snapshot_server = http1_server.Server(
@@ -127,7 +127,7 @@
         add(
             "masticward_gateway_late_seconds",
             "smoothed lateness of a timer, in seconds",
-            lambda: self.lag.seconds,
+            lambda: self.lag.lag_seconds,
         )
         add(
             "masticward_gateway_live_gateways",
@@ -142,7 +142,7 @@
         add(
             "masticward_gateway_repeats",
             "repeated sends within the window",
-            lambda: sum(len(budget.repeats) for budget in fleet.budgets.values()),
+            lambda: sum(len(budget.retries) for budget in fleet.budgets.values()),
         )
         self.meters.add_labelled_gauge(
             "masticward_gateway_endpoints",
@@ -193,13 +193,13 @@
             for peer in self.peering.peers.values()
         )
 
-    def list_again(self) -> None:
+    def relist(self) -> None:
         """List endpoints and evacuations again, whatever their watches wait for."""
         for kind in (sources.ObjectKind.ENDPOINTS, sources.ObjectKind.EVACUATIONS):
             self.followers[kind].list_again.set()
         self.snapshots.listing_differs = True
 
-    def tell_proof(self) -> None:
+    def send_proof(self) -> None:
         """Tell the peers of a new proof at once, so that they need none of their own."""
         self.peering.send_round()
 
@@ -249,11 +249,11 @@
             due = clocks.boot_time() + TICK_SECONDS
             await asyncio.sleep(TICK_SECONDS)
             now = clocks.boot_time()
-            if self.lag.note(now - due, now):
+            if self.lag.record(now - due, now):
                 LOGGER.log(
                     events.Event.OVERLOAD_CHANGED,
                     overloaded=self.lag.overloaded,
-                    late_seconds=round(self.lag.seconds, 3),
+                    late_seconds=round(self.lag.lag_seconds, 3),
                     unfinished=self.client_server.busy,
                 )
             self.fleet.tick()
@@ -290,7 +290,7 @@
     async def stop(self) -> None:
         """Leave the balancer's rotation, finish requests at hand, then end."""
         started = clocks.boot_time()
-        end_at = started + self.settings.bounds.stop_seconds - STOP_MARGIN_SECONDS
+        end_at = started + self.settings.bounds.stop_grace_seconds - STOP_MARGIN_SECONDS
         LOGGER.log(events.Event.PROCESS_STOPPING, instance=self.settings.instance_id)
         self.stopping = True
         self.peering.stopping = True
--- a/src/masticward/gateway/calls.py
+++ b/src/masticward/gateway/calls.py
@@ -159,7 +159,7 @@
         endpoint: gateway.Endpoint,
         exchange: http1.Exchange,
         answer: http1.Answer,
-        marks: gateway.AnswerMarks,
+        marks: gateway.ResponseMetadata,
     ) -> None:
         self.pool = pool
         self.endpoint = endpoint
@@ -193,7 +193,7 @@
         try:
             return Connection(await http1.connect(address, CONNECT_TIMEOUT_SECONDS), None)
         except errors.EndpointNotStartedError:
-            pause = self.fleet.health.note_unreachable(endpoint.id, clocks.boot_time())
+            pause = self.fleet.health.record_unreachable(endpoint.id, clocks.boot_time())
             LOGGER.log(
                 events.Event.GATEWAY_ENDPOINT_UNREACHABLE,
                 endpoint=endpoint.id,
@@ -204,7 +204,7 @@
     async def call(
         self,
         endpoint: gateway.Endpoint,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         team: str | None,
         body: bytes,
         remaining_ms: int,
@@ -240,7 +240,7 @@
 
     async def read_own_head(
         self, exchange: http1.Exchange, request_id: str
-    ) -> tuple[http1.Answer, gateway.AnswerMarks]:
+    ) -> tuple[http1.Answer, gateway.ResponseMetadata]:
         """Return the head of the answer to this request, dropping answers to others."""
         for _ in range(STRAY_ANSWERS + 1):
             answer = await exchange.read_head()
--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -3,13 +3,13 @@
 from masticward import events, logs
 from masticward.models import gateway
 from masticward.state import (
-    cold_pace,
+    cold_start,
     endpoint_health,
     endpoint_table,
-    load_board,
+    load_table,
     placement,
     prompt_cache,
-    repeats,
+    retry_window,
     team_usage,
 )
 from masticward.utils import clocks
@@ -32,14 +32,14 @@
         self.newest_version_told = 0
         self.endpoints_known = False
         self.table = endpoint_table.EndpointTable()
-        self.loads = load_board.LoadBoard()
-        self.caches = prompt_cache.CacheMap()
-        self.health = endpoint_health.HealthBook()
+        self.loads = load_table.LoadTable()
+        self.caches = prompt_cache.PromptCaches()
+        self.health = endpoint_health.HealthTracker()
         # Tokens of the requests that began, and of all that arrived.
         self.usage = team_usage.TeamUsage()
         self.asked = team_usage.TeamUsage()
-        self.pace = cold_pace.ColdPace()
-        self.budgets: dict[str, repeats.RepeatBudget] = {}
+        self.pace = cold_start.ColdStartLimiter()
+        self.budgets: dict[str, retry_window.WindowedRetryBudget] = {}
         self.view = placement.PlacementView(self.loads, self.caches, self.health)
         # Gateways that were heard lately, this one included.
         self.live_gateways: list[str] = [settings.instance_id]
@@ -51,9 +51,9 @@
         """Take over changed settings."""
         self.settings = settings
         for budget in self.budgets.values():
-            budget.ratio = settings.bounds.repeat_ratio
-            budget.slack = settings.bounds.repeat_slack
-            budget.window = settings.bounds.repeat_window_seconds
+            budget.ratio = settings.bounds.retry_ratio
+            budget.slack = settings.bounds.retry_slack
+            budget.window_seconds = settings.bounds.retry_window_seconds
 
     def take_configuration(
         self, configuration: gateway.FleetConfiguration, proven_at: float, source: str
@@ -104,13 +104,13 @@
             return None
         return configuration.team_of_key.get(api_key)
 
-    def budget(self, service: str) -> repeats.RepeatBudget:
+    def budget(self, service: str) -> retry_window.WindowedRetryBudget:
         """Return the budget for repeated sends to a service."""
         found = self.budgets.get(service)
         if found is None:
             bounds = self.settings.bounds
-            found = self.budgets[service] = repeats.RepeatBudget(
-                bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_seconds
+            found = self.budgets[service] = retry_window.WindowedRetryBudget(
+                bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_seconds
             )
         return found
 
@@ -125,7 +125,7 @@
     def tick(self) -> None:
         """Drop endpoints whose grace after an outage is over."""
         changes: list[endpoint_table.Change] = []
-        self.table.drop_missing(clocks.boot_time(), changes)
+        self.table.remove_expired(clocks.boot_time(), changes)
         for change in changes:
             self.note_change(change)
 
@@ -138,9 +138,9 @@
             detail=change.detail,
         )
         if change.state in ("added", "gone"):
-            self.caches.forget(change.endpoint_id)
-            self.health.forget(change.endpoint_id)
-            self.pace.forget(change.endpoint_id)
+            self.caches.remove(change.endpoint_id)
+            self.health.remove(change.endpoint_id)
+            self.pace.remove(change.endpoint_id)
 
     def apply_evacuations(self, found: list[tuple[str, bool]], complete: bool) -> None:
         """Take over the zones that operators have taken out."""
--- a/src/masticward/gateway/followers.py
+++ b/src/masticward/gateway/followers.py
@@ -104,7 +104,7 @@
             )
             self.lost = False
             if self.kind is sources.ObjectKind.ENDPOINTS and away > OUTAGE_SECONDS:
-                self.fleet.table.note_store_return(now)
+                self.fleet.table.start_relist_grace(now)
         self.answered_at = now
 
     def apply(self, listing: sources.Listing, asked_at: float) -> None:
--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -70,7 +70,7 @@
         headers = self.tools.codec.refusal_headers(request_id, refusal.retry_after_seconds)
         await responder.send(refusal.status, headers, b"")
 
-    def check(self, terms: gateway.RequestTerms) -> tuple[gateway.Route, str | None]:
+    def check(self, terms: gateway.RequestMetadata) -> tuple[gateway.Route, str | None]:
         """Return route and team of a request; raises Refusal."""
         fleet = self.fleet
         configuration = fleet.configuration
--- a/src/masticward/gateway/peering.py
+++ b/src/masticward/gateway/peering.py
@@ -11,7 +11,7 @@
 from masticward.gateway import sources
 from masticward.models import gateway
 from masticward.protocol import gateway_peers
-from masticward.state import load_board
+from masticward.state import load_table
 from masticward.utils import clocks, identifiers
 
 # Figures are this old at most with few gateways; with more, a process sends as many datagrams.
@@ -134,7 +134,7 @@
     def send_changes(self) -> None:
         """Send the changes since the last message to each live gateway."""
         self.new_work = False
-        loads = self.fleet.loads.take_changed()
+        loads = self.fleet.loads.pop_changed()
         changes = gateway_peers.PeerChanges(
             instance_id=self.fleet.settings.instance_id,
             incarnation=self.incarnation,
@@ -184,7 +184,7 @@
     def note_silence(self) -> None:
         """Bring the list of live gateways up to date."""
         now = clocks.boot_time()
-        self.fleet.loads.drop_silent(now)
+        self.fleet.loads.remove_stale_peers(now)
         live = [self.fleet.settings.instance_id]
         for peer in self.peers.values():
             heard = now - peer.heard_at <= LIVE_SECONDS
@@ -273,8 +273,8 @@
                 endpoint_id: (load.unread_tokens, load.requests, load.memory_tokens)
                 for endpoint_id, load in fleet.loads.own.items()
             },
-            usage=fleet.usage.told(),
-            asked=fleet.asked.told(),
+            usage=fleet.usage.reportable_totals(),
+            asked=fleet.asked.reportable_totals(),
             prompts=prompts,
             members=members,
         )
@@ -303,8 +303,8 @@
             return  # overtaken by a newer datagram
         peer.echo = message.sent_at
         peer.heard_at = now
-        loads = {key: load_board.EndpointLoad(*value) for key, value in changes.loads.items()}
-        self.fleet.loads.note_peer_changes(peer.instance_id, loads, now)
+        loads = {key: load_table.EndpointLoad(*value) for key, value in changes.loads.items()}
+        self.fleet.loads.update_peer_loads(peer.instance_id, loads, now)
         self.note_prompts(changes.prompts)
 
     def note_figures(
@@ -329,13 +329,13 @@
         peer.figures = figures
         fleet = self.fleet
         fleet.newest_version_told = max(fleet.newest_version_told, figures.configuration_version)
-        fleet.loads.note_peer(
+        fleet.loads.set_peer_loads(
             peer.instance_id,
-            {key: load_board.EndpointLoad(*value) for key, value in figures.loads.items()},
+            {key: load_table.EndpointLoad(*value) for key, value in figures.loads.items()},
             now,
         )
-        fleet.usage.note_peer(peer.instance_id, figures.usage, now)
-        fleet.asked.note_peer(peer.instance_id, figures.asked, now)
+        fleet.usage.set_peer_usage(peer.instance_id, figures.usage, now)
+        fleet.asked.set_peer_usage(peer.instance_id, figures.asked, now)
         self.note_prompts(figures.prompts)
         self.note_proof(message, figures, now)
         for instance_id, ip in figures.members:
@@ -351,7 +351,7 @@
                 continue
             service = configuration.services.get(endpoint.service)
             if service is not None and service.engine is not None:
-                fleet.caches.engine(endpoint_id, service.engine.cache_tokens).note_read(
+                fleet.caches.get(endpoint_id, service.engine.cache_tokens).record_prompt(
                     [(key, tokens) for key, tokens in keys]
                 )
 
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -8,7 +8,7 @@
 
 from masticward.gateway import fleet as fleet_module
 from masticward.models import gateway
-from masticward.state import cold_pace, placement, prompt_cache, team_usage
+from masticward.state import cold_start, placement, prompt_cache, team_usage
 from masticward.utils import clocks
 
 # Waiting requests are looked at this often, because peers' loads change without an event here.
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         route: gateway.Route,
         service: str,
         team: str | None,
@@ -77,7 +77,7 @@
         # As the last choice found; all of them before the first one.
         self.unread_tokens = terms.prompt_tokens
         self.in_time_until = terms.arrived_at + IN_TIME_SHARE * route.target_latency_seconds
-        self.keys = prompt_cache.chain_keys(terms.parts)
+        self.keys = prompt_cache.prefix_keys(terms.parts)
         self.excluded: set[str] = set()
         self.future: asyncio.Future[placement.Choice | Refused] | None = None
 
@@ -103,7 +103,7 @@
             self.states = placement.engine_states(
                 self.candidates, self.engine, self.fleet.view, now
             )
-            self.busy = placement.busy_share(self.states)
+            self.busy = placement.prefill_utilization(self.states)
 
     def choose(self, request: Waiting, over: dict[str, float]) -> placement.Choice | None:
         """Return the best endpoint for a request; ``over`` has the teams above their share."""
@@ -112,7 +112,7 @@
             if request.excluded:
                 candidates = [item for item in candidates if item.id not in request.excluded]
             zone = self.fleet.settings.availability_zone
-            return placement.choose_plain(candidates, zone, self.fleet.view, self.now)
+            return placement.choose_plain_endpoint(candidates, zone, self.fleet.view, self.now)
         states = self.states
         if request.excluded:
             states = [item for item in states if item.endpoint.id not in request.excluded]
@@ -125,8 +125,8 @@
             self.engine,
             request.keys,
             request.terms,
-            placement.reread_weight(self.now - request.arrived_at, target, busy),
-            placement.window_seconds(over.get(request.team)),
+            placement.recompute_weight(self.now - request.arrived_at, target, busy),
+            placement.prefill_window_seconds(over.get(request.team)),
         )
 
     def may_have_room(self, excess: float | None) -> bool:
@@ -136,10 +136,10 @@
         """
         if self.engine is None:
             return True
-        window = placement.window_seconds(excess)
+        window = placement.prefill_window_seconds(excess)
         if window <= self.full_for:
             return False
-        if placement.any_room(self.states, self.engine, window):
+        if placement.any_has_capacity(self.states, self.engine, window):
             return True
         self.full_for = window
         return False
@@ -183,7 +183,7 @@
         """Wait until the request has an endpoint or is refused."""
         queue = self.waiting.setdefault(request.service, [])
         request.future = asyncio.get_running_loop().create_future()
-        self.fleet.asked.note(
+        self.fleet.asked.record(
             request.team, team_usage.charged_tokens(request.terms), clocks.boot_time()
         )
         queue.append(request)
@@ -210,7 +210,7 @@
         now = self.pumped_at = clocks.boot_time()
         usage = self.fleet.usage.totals(now)
         asked = self.fleet.asked.totals(now)
-        over = team_usage.excess_of_share(asked, usage)
+        over = team_usage.excess_over_share(asked, usage)
         speed = self.read_speed(service, asked, now)
         queue.sort(
             key=lambda item: (
@@ -230,7 +230,7 @@
             choice = None
             if blocked < MOST_BLOCKED and pool.may_have_room(over.get(request.team)):
                 choice = pool.choose(request, over)
-            if choice is not None and choice.allowed:
+            if choice is not None and choice.has_capacity:
                 self.reserve(request, choice, now)
                 queue.remove(request)
                 request.future.set_result(choice)
@@ -256,7 +256,7 @@
         total = sum(asked.values())
         part = sum(self.fleet.asked.own.values()) / total if total > 0 else 1.0
         part = min(1.0, max(part, 1.0 / len(self.fleet.live_gateways)))
-        return placement.READ_TOKENS_PER_SECOND * engines * part
+        return placement.PREFILL_TOKENS_PER_SECOND * engines * part
 
     def refuse(
         self,
@@ -291,7 +291,7 @@
         service = configuration.services.get(endpoint.service) if configuration else None
         return (
             service is not None
-            and not self.fleet.health.paused(endpoint.id, now)
+            and not self.fleet.health.in_backoff(endpoint.id, now)
             and self.warm_or_paced(endpoint, service, now)
         )
 
@@ -304,7 +304,7 @@
         rate = service.cold_requests_per_second
         if rate <= 0:
             return True
-        if now < self.fleet.started_at + cold_pace.QUIET_SECONDS:
+        if now < self.fleet.started_at + cold_start.PEER_DISCOVERY_SECONDS:
             return False
         gateways = self.fleet.live_gateways
         own_id = self.fleet.settings.instance_id
@@ -314,25 +314,25 @@
         """Take back the reservation of a request that will not be sent."""
         if isinstance(placed, placement.Choice):
             memory_tokens = request.terms.prompt_tokens + request.terms.output_tokens
-            self.fleet.loads.end(placed.endpoint.id, memory_tokens, placed.unread_tokens)
+            self.fleet.loads.finish_request(placed.endpoint.id, memory_tokens, placed.unread_tokens)
 
     def reserve(self, request: Waiting, choice: placement.Choice, now: float) -> None:
         """Count a request at its endpoint before it is sent."""
         fleet = self.fleet
         endpoint = choice.endpoint
         terms = request.terms
-        fleet.loads.begin(
+        fleet.loads.start_request(
             endpoint.id, choice.unread_tokens, terms.prompt_tokens + terms.output_tokens
         )
         service = fleet.configuration.services[request.service] if fleet.configuration else None
         if service is None:
             return
         if service.engine is not None:
-            cache = fleet.caches.engine(endpoint.id, service.engine.cache_tokens)
-            cache.note_read(request.keys)
+            cache = fleet.caches.get(endpoint.id, service.engine.cache_tokens)
+            cache.record_prompt(request.keys)
             self.on_prompt(endpoint.id, request.keys)
-            fleet.usage.note(request.team, team_usage.charged_tokens(terms), now)
+            fleet.usage.record(request.team, team_usage.charged_tokens(terms), now)
         if fleet.table.cold_until(endpoint) > now and service.cold_requests_per_second > 0:
-            fleet.pace.note_sent(
+            fleet.pace.record_send(
                 endpoint.id, service.cold_requests_per_second, fleet.known_gateways, now
             )
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -85,7 +85,7 @@
     def __init__(
         self,
         tools: RequestTools,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         route: gateway.Route,
         team: str | None,
         body: bytes,
@@ -116,7 +116,7 @@
 
     async def run(self) -> None:
         """Serve the request; raises Refusal."""
-        self.fleet.budget(self.service).note_request(clocks.boot_time())
+        self.fleet.budget(self.service).record_request(clocks.boot_time())
         try:
             async with asyncio.timeout(max(0.0, self.final_at - clocks.boot_time())):
                 while not await self.attempt():
@@ -158,12 +158,12 @@
         except errors.EndpointNotStartedError as error:
             self.waiting.excluded.add(endpoint.id)
             if error.overloaded:
-                self.fleet.health.note_shed(endpoint.id, clocks.boot_time())
+                self.fleet.health.record_shed(endpoint.id, clocks.boot_time())
             self.note_failure(endpoint, "not started", str(error))
             return False
         except errors.EndpointBrokenError as error:
             self.waiting.excluded.add(endpoint.id)
-            self.fleet.health.note_failure(endpoint.id, clocks.boot_time())
+            self.fleet.health.record_failure(endpoint.id, clocks.boot_time())
             self.note_failure(endpoint, "broken", str(error))
             if self.may_repeat():
                 return False
@@ -187,7 +187,7 @@
 
     def may_repeat(self) -> bool:
         """Whether the route allows another run."""
-        return self.route.repeatable and self.progress.runs < self.route.max_attempts
+        return self.route.retryable and self.progress.runs < self.route.max_attempts
 
     def note_failure(self, endpoint: gateway.Endpoint, outcome: str, detail: str) -> None:
         """Log a failed attempt."""
@@ -299,7 +299,7 @@
             return True
         body = await self.until_silent(call.exchange.read_body(), PAUSE_SECONDS)
         if answer.status >= 500:
-            self.fleet.health.note_failure(call.endpoint.id, clocks.boot_time())
+            self.fleet.health.record_failure(call.endpoint.id, clocks.boot_time())
             if self.may_repeat() and not self.progress.started_client:
                 self.waiting.excluded.add(call.endpoint.id)
                 self.note_failure(call.endpoint, "failed", f"status {answer.status}")
@@ -317,7 +317,7 @@
     def note_success(self, call: calls.Call, sent_at: float) -> None:
         """Count and log a whole answer."""
         now = clocks.boot_time()
-        self.fleet.health.note_success(call.endpoint.id, now)
+        self.fleet.health.record_success(call.endpoint.id, now)
         self.tools.meters.note_outcome("answered", call.answer.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_ANSWERED,
@@ -336,7 +336,7 @@
                 held.note_first_event()
                 now = clocks.boot_time()
                 expected = held.choice.expected_seconds
-                self.fleet.health.note_speed(call.endpoint.id, now - sent_at, expected, now)
+                self.fleet.health.record_latency(call.endpoint.id, now - sent_at, expected, now)
                 self.tools.meters.first_event.observe(now - self.terms.arrived_at)
             if data is None:
                 break
@@ -375,7 +375,7 @@
         fleet: fleet_module.Fleet,
         endpoint_id: str,
         choice: placement.Choice,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
     ) -> None:
         self.fleet = fleet
         self.endpoint_id = endpoint_id
@@ -387,12 +387,12 @@
         """Note that the prompt has been read."""
         if not self.read:
             self.read = True
-            self.fleet.loads.note_read(self.endpoint_id, self.choice.unread_tokens)
+            self.fleet.loads.record_prefill(self.endpoint_id, self.choice.unread_tokens)
 
     def end(self) -> None:
         """Note the end of the attempt."""
         unread_left = 0 if self.read else self.choice.unread_tokens
-        self.fleet.loads.end(self.endpoint_id, self.memory_tokens, unread_left)
+        self.fleet.loads.finish_request(self.endpoint_id, self.memory_tokens, unread_left)
 
 
 def choose_service(route: gateway.Route, request_id: str) -> str:
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -78,13 +78,13 @@
         target: bytes,
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
-    ) -> gateway.RequestTerms:
+    ) -> gateway.RequestMetadata:
         """Return what a request says of itself; raises BadRequestError."""
 
     @abc.abstractmethod
     def encode_request(
         self,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         endpoint: gateway.Endpoint,
         team: str | None,
         remaining_ms: int,
@@ -94,7 +94,9 @@
         """Return the headers of the request to an endpoint."""
 
     @abc.abstractmethod
-    def decode_answer(self, status: int, headers: list[tuple[bytes, bytes]]) -> gateway.AnswerMarks:
+    def decode_answer(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> gateway.ResponseMetadata:
         """Return what the head of an endpoint's answer says."""
 
     @abc.abstractmethod
--- a/src/masticward/models/gateway.py
+++ b/src/masticward/models/gateway.py
@@ -38,7 +38,7 @@
     resumable: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
@@ -99,7 +99,7 @@
     tokens: int
 
 
-class RequestTerms(msgspec.Struct, frozen=True, kw_only=True):
+class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """What a client's request says of itself. ``forwarded`` holds the headers to pass on."""
 
     request_id: str
@@ -117,7 +117,7 @@
     arrived_at: float
 
 
-class AnswerMarks(msgspec.Struct, frozen=True, kw_only=True):
+class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """What the head of an endpoint's answer says besides its status."""
 
     request_id: str | None
@@ -134,10 +134,10 @@
     """Limits that hold for the fleet as a whole."""
 
     revoke_seconds: float
-    stop_seconds: float
-    repeat_ratio: float
-    repeat_window_seconds: float
-    repeat_slack: float
+    stop_grace_seconds: float
+    retry_ratio: float
+    retry_window_seconds: float
+    retry_slack: float
     cold_overage: float
     cold_slack: float
 
--- a/src/masticward/platform/headers.py
+++ b/src/masticward/platform/headers.py
@@ -63,7 +63,7 @@
         target: bytes,
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
-    ) -> gateway.RequestTerms:
+    ) -> gateway.RequestMetadata:
         """Return what a request says of itself; raises BadRequestError."""
         lowered = [(name.lower(), value) for name, value in headers]
         by_name = dict(lowered)
@@ -96,7 +96,7 @@
         path = target.split(b"?", 1)[0].decode("latin-1")
         if not path.startswith("/"):
             path = urllib.parse.urlsplit(path).path
-        return gateway.RequestTerms(
+        return gateway.RequestMetadata(
             request_id=request_id.decode("latin-1"),
             method=method,
             target=target,
@@ -114,7 +114,7 @@
 
     def encode_request(
         self,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         endpoint: gateway.Endpoint,
         team: str | None,
         remaining_ms: int,
@@ -133,13 +133,15 @@
             headers.append((names.CONTENT_LENGTH, str(body_bytes).encode()))
         return headers
 
-    def decode_answer(self, status: int, headers: list[tuple[bytes, bytes]]) -> gateway.AnswerMarks:
+    def decode_answer(
+        self, status: int, headers: list[tuple[bytes, bytes]]
+    ) -> gateway.ResponseMetadata:
         """Return what the head of an endpoint's answer says."""
         by_name = {name.lower(): value for name, value in headers}
         timeout = KEEP_ALIVE_TIMEOUT_PATTERN.search(by_name.get(names.KEEP_ALIVE, b""))
         running, waiting = parse_load(first(by_name, names.LOAD))
         encoding = by_name.get(names.CONTENT_ENCODING, b"identity").lower()
-        return gateway.AnswerMarks(
+        return gateway.ResponseMetadata(
             request_id=first(by_name, names.REQUEST_ID),
             proven=names.PROOF in by_name,
             not_run=names.NOT_RUN in by_name or status == 421,
--- a/src/masticward/state/endpoint_table.py
+++ b/src/masticward/state/endpoint_table.py
@@ -45,7 +45,7 @@
         # None while the digest has to be computed again.
         self.known_digest: int | None = None
 
-    def note_store_return(self, now: float) -> None:
+    def start_relist_grace(self, now: float) -> None:
         """Keep endpoints that lapsed during an outage until they can be listed again."""
         self.grace_until = now + RELIST_GRACE_SECONDS
 
@@ -68,7 +68,7 @@
         if complete:
             for endpoint_id in [item for item in self.endpoints if item not in seen]:
                 self.remove(endpoint_id, now, changes)
-        self.drop_missing(now, changes)
+        self.remove_expired(now, changes)
         return changes
 
     def put(self, endpoint: gateway.Endpoint, changes: list[Change]) -> None:
@@ -93,7 +93,7 @@
         self.missing.pop(endpoint_id, None)
         changes.append(Change(endpoint_id, "gone"))
 
-    def drop_missing(self, now: float, changes: list[Change]) -> None:
+    def remove_expired(self, now: float, changes: list[Change]) -> None:
         """Drop endpoints whose grace is over."""
         for endpoint_id in [item for item, until in self.missing.items() if until <= now]:
             self.known_digest = None
--- a/src/masticward/state/load_board.py
+++ b/src/masticward/state/load_table.py
@@ -5,7 +5,7 @@
 import msgspec
 
 # A peer's figures are left out after this long without news of it.
-PEER_FIGURES_SECONDS = 1.5
+PEER_LOADS_MAX_AGE_SECONDS = 1.5
 
 
 class EndpointLoad(msgspec.Struct):
@@ -16,7 +16,7 @@
     memory_tokens: int = 0
 
 
-class LoadBoard:
+class LoadTable:
     """Sums the own work and that of the peers. Times are seconds of ``clocks.boot_time``."""
 
     __slots__ = ("changed", "own", "peer_totals", "peers")
@@ -29,17 +29,17 @@
         # Sums over the peers, kept up to date because each choice reads them for each endpoint.
         self.peer_totals: dict[str, EndpointLoad] = collections.defaultdict(EndpointLoad)
 
-    def begin(self, endpoint_id: str, unread_tokens: int, memory_tokens: int) -> None:
+    def start_request(self, endpoint_id: str, unread_tokens: int, memory_tokens: int) -> None:
         """Note a request that is sent."""
         add(self.own[endpoint_id], EndpointLoad(unread_tokens, 1, memory_tokens), 1)
         self.changed.add(endpoint_id)
 
-    def note_read(self, endpoint_id: str, unread_tokens: int) -> None:
+    def record_prefill(self, endpoint_id: str, unread_tokens: int) -> None:
         """Note that a request's prompt has been read."""
         self.own[endpoint_id].unread_tokens -= unread_tokens
         self.changed.add(endpoint_id)
 
-    def end(self, endpoint_id: str, memory_tokens: int, unread_left: int) -> None:
+    def finish_request(self, endpoint_id: str, memory_tokens: int, unread_left: int) -> None:
         """Note the end of a request and of what was not read of its prompt."""
         load = self.own[endpoint_id]
         load.requests -= 1
@@ -49,20 +49,20 @@
             del self.own[endpoint_id]
         self.changed.add(endpoint_id)
 
-    def take_changed(self) -> dict[str, EndpointLoad]:
+    def pop_changed(self) -> dict[str, EndpointLoad]:
         """Return the own loads that changed since the last call; an empty one has ended."""
         found = {item: self.own.get(item) or EndpointLoad() for item in self.changed}
         self.changed.clear()
         return found
 
-    def note_peer(self, peer: str, loads: dict[str, EndpointLoad], now: float) -> None:
+    def set_peer_loads(self, peer: str, loads: dict[str, EndpointLoad], now: float) -> None:
         """Take over a peer's figures."""
-        self.drop_peer(peer)
+        self.remove_peer(peer)
         self.peers[peer] = (now, loads)
         for endpoint_id, load in loads.items():
             add(self.peer_totals[endpoint_id], load, 1)
 
-    def note_peer_changes(self, peer: str, loads: dict[str, EndpointLoad], now: float) -> None:
+    def update_peer_loads(self, peer: str, loads: dict[str, EndpointLoad], now: float) -> None:
         """Replace some of a peer's figures."""
         _, known = self.peers.get(peer, (now, {}))
         self.peers[peer] = (now, known)
@@ -74,7 +74,7 @@
                 known[endpoint_id] = load
                 add(self.peer_totals[endpoint_id], load, 1)
 
-    def drop_peer(self, peer: str) -> None:
+    def remove_peer(self, peer: str) -> None:
         """Leave a peer's figures out."""
         _, loads = self.peers.pop(peer, (0.0, {}))
         for endpoint_id, load in loads.items():
@@ -87,11 +87,11 @@
         if total.requests == 0:
             del self.peer_totals[endpoint_id]
 
-    def drop_silent(self, now: float) -> None:
+    def remove_stale_peers(self, now: float) -> None:
         """Leave out the figures of peers that have not been heard lately."""
         for peer, (heard_at, _) in list(self.peers.items()):
-            if now - heard_at > PEER_FIGURES_SECONDS:
-                self.drop_peer(peer)
+            if now - heard_at > PEER_LOADS_MAX_AGE_SECONDS:
+                self.remove_peer(peer)
 
     def total(self, endpoint_id: str) -> EndpointLoad:
         """Return the work of all processes at an endpoint."""
--- a/src/masticward/state/loop_lag.py
+++ b/src/masticward/state/loop_lag.py
@@ -13,21 +13,21 @@
 class LoopLag:
     """The smoothed lateness of a timer. Moments are seconds of ``clocks.boot_time``."""
 
-    __slots__ = ("overloaded", "relieved_at", "seconds")
+    __slots__ = ("lag_seconds", "overloaded", "relieved_at")
 
     def __init__(self) -> None:
-        self.seconds = 0.0
+        self.lag_seconds = 0.0
         self.overloaded = False
         self.relieved_at = 0.0
 
-    def note(self, late_seconds: float, now: float) -> bool:
+    def record(self, late_seconds: float, now: float) -> bool:
         """Take in how late a timer fired; returns whether the judgement changed."""
         sample = min(LONGEST_SAMPLE_SECONDS, max(0.0, late_seconds))
-        self.seconds += SAMPLE_WEIGHT * (sample - self.seconds)
+        self.lag_seconds += SAMPLE_WEIGHT * (sample - self.lag_seconds)
         before = self.overloaded
-        if not self.overloaded and self.seconds > OVERLOADED_SECONDS:
+        if not self.overloaded and self.lag_seconds > OVERLOADED_SECONDS:
             self.overloaded = True
             self.relieved_at = now + LEAST_ABSENCE_SECONDS
-        elif self.overloaded and self.seconds < RELIEVED_SECONDS and now >= self.relieved_at:
+        elif self.overloaded and self.lag_seconds < RELIEVED_SECONDS and now >= self.relieved_at:
             self.overloaded = False
         return self.overloaded != before
--- a/src/masticward/state/prompt_cache.py
+++ b/src/masticward/state/prompt_cache.py
@@ -10,7 +10,7 @@
 KEPT_SHARE = 0.7
 
 
-def chain_keys(parts: tuple[gateway.PromptPart, ...]) -> list[tuple[int, int]]:
+def prefix_keys(parts: tuple[gateway.PromptPart, ...]) -> list[tuple[int, int]]:
     """Return key and tokens of each prefix of a prompt; a key covers all parts before it."""
     keys = []
     digest = xxhash.xxh3_64()
@@ -43,7 +43,7 @@
             tokens = total
         return tokens
 
-    def note_read(self, keys: list[tuple[int, int]]) -> None:
+    def record_prompt(self, keys: list[tuple[int, int]]) -> None:
         """Remember a prompt that was sent to the engine."""
         before = 0
         for key, total in keys:
@@ -57,7 +57,7 @@
             self.total -= tokens
 
 
-class CacheMap:
+class PromptCaches:
     """The caches of all engines, by endpoint id."""
 
     __slots__ = ("engines",)
@@ -65,13 +65,13 @@
     def __init__(self) -> None:
         self.engines: dict[str, EngineCache] = {}
 
-    def engine(self, endpoint_id: str, capacity: int) -> EngineCache:
+    def get(self, endpoint_id: str, capacity: int) -> EngineCache:
         """Return the cache of an engine."""
         found = self.engines.get(endpoint_id)
         if found is None:
             found = self.engines[endpoint_id] = EngineCache(capacity)
         return found
 
-    def forget(self, endpoint_id: str) -> None:
+    def remove(self, endpoint_id: str) -> None:
         """Drop an engine that is gone or was started again."""
         self.engines.pop(endpoint_id, None)
--- a/src/masticward/state/repeats.py
+++ b/src/masticward/state/retry_window.py
@@ -7,34 +7,34 @@
 MINIMUM_GATEWAYS = 4
 
 
-class RepeatBudget:
+class WindowedRetryBudget:
     """A process's part of the fleet's budget. Times are seconds of ``clocks.boot_time``."""
 
-    __slots__ = ("ratio", "repeats", "requests", "slack", "window")
+    __slots__ = ("ratio", "requests", "retries", "slack", "window_seconds")
 
-    def __init__(self, ratio: float, slack: float, window: float) -> None:
+    def __init__(self, ratio: float, slack: float, window_seconds: float) -> None:
         self.ratio = ratio
         self.slack = slack
-        self.window = window
+        self.window_seconds = window_seconds
         self.requests: collections.deque[float] = collections.deque()
-        self.repeats: collections.deque[float] = collections.deque()
+        self.retries: collections.deque[float] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a client's request."""
         self.requests.append(now)
-        self.forget(now)
+        self.expire(now)
 
     def take(self, now: float, gateways: int) -> bool:
         """Count a repeated send if the budget allows it."""
-        self.forget(now)
+        self.expire(now)
         share = self.slack * SLACK_SHARE / max(MINIMUM_GATEWAYS, gateways)
-        if len(self.repeats) + 1 > self.ratio * len(self.requests) + share:
+        if len(self.retries) + 1 > self.ratio * len(self.requests) + share:
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop what lies before the window."""
-        for times in (self.requests, self.repeats):
-            while times and times[0] <= now - self.window:
+        for times in (self.requests, self.retries):
+            while times and times[0] <= now - self.window_seconds:
                 times.popleft()
--- a/src/masticward/state/team_usage.py
+++ b/src/masticward/state/team_usage.py
@@ -6,14 +6,14 @@
 
 # Fairness is judged over windows of 4 to 6 s (pages of the platform).
 MEMORY_SECONDS = 4.0
-PEER_FIGURES_SECONDS = 4.0
+PEER_USAGE_MAX_AGE_SECONDS = 4.0
 # Requests that arrived just now have not begun; less than this is no shortage.
 UNSERVED_FACTOR = 1.1
 # Teams below this are left out of messages.
 NEGLIGIBLE_TOKENS = 50.0
 
 
-def charged_tokens(terms: gateway.RequestTerms) -> int:
+def charged_tokens(terms: gateway.RequestMetadata) -> int:
     """Return the tokens that a request counts for: each read once, each generated twice."""
     return terms.prompt_tokens + 2 * terms.output_tokens
 
@@ -38,20 +38,20 @@
             if tokens * factor > NEGLIGIBLE_TOKENS / 10
         }
 
-    def note(self, team: str, tokens: int, now: float) -> None:
+    def record(self, team: str, tokens: int, now: float) -> None:
         """Add a request that was sent to an endpoint."""
         self.decay(now)
         self.own[team] = self.own.get(team, 0.0) + tokens
 
-    def told(self) -> dict[str, float]:
+    def reportable_totals(self) -> dict[str, float]:
         """Return the own figures that are worth telling peers."""
         return {team: tokens for team, tokens in self.own.items() if tokens > NEGLIGIBLE_TOKENS}
 
-    def note_peer(self, peer: str, figures: dict[str, float], now: float) -> None:
+    def set_peer_usage(self, peer: str, figures: dict[str, float], now: float) -> None:
         """Take over a peer's figures."""
         self.peers[peer] = (now, figures)
 
-    def recent(self, team: str, now: float) -> float:
+    def team_total(self, team: str, now: float) -> float:
         """Return the tokens of a team in the whole fleet, decayed."""
         return self.totals(now).get(team, 0.0)
 
@@ -61,7 +61,7 @@
         totals = {team: tokens * factor for team, tokens in self.own.items()}
         for heard_at, figures in self.peers.values():
             age = now - heard_at
-            if age > PEER_FIGURES_SECONDS:
+            if age > PEER_USAGE_MAX_AGE_SECONDS:
                 continue
             factor = math.exp(-max(0.0, age) / MEMORY_SECONDS)
             for team, tokens in figures.items():
@@ -69,7 +69,7 @@
         return totals
 
 
-def excess_of_share(asked: dict[str, float], begun: dict[str, float]) -> dict[str, float]:
+def excess_over_share(asked: dict[str, float], begun: dict[str, float]) -> dict[str, float]:
     """Return how many times its max-min share each team above it was served.
 
     What was served is taken as the capacity: while nothing waits, all that was asked has begun and
@@ -78,11 +78,11 @@
     served = sum(begun.values())
     if sum(asked.values()) <= served * UNSERVED_FACTOR:
         return {}
-    share = fair_share(list(asked.values()), served)
+    share = max_min_share(list(asked.values()), served)
     return {team: tokens / share for team, tokens in begun.items() if tokens > share}
 
 
-def fair_share(demands: list[float], capacity: float) -> float:
+def max_min_share(demands: list[float], capacity: float) -> float:
     """Return the max-min share: no demand above it gets more than it."""
     left = capacity
     remaining = sorted(demands)
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -219,7 +219,7 @@
                 writer.transport.abort()
                 return False
             used.add(writer)
-            return await platform_standins.answer_whole(request, writer)
+            return await platform_standins.send_complete_response(request, writer)
 
         await self.add_endpoint("e1", drop_after_one)
         await self.start()
@@ -246,7 +246,7 @@
         self,
     ) -> None:
         for name in ("e1", "e2"):
-            await self.add_endpoint(name, platform_standins.break_off)
+            await self.add_endpoint(name, platform_standins.close_without_response)
         await self.start()
         answer = await self.ask("book")
         self.assertEqual(502, answer.status)
@@ -254,22 +254,22 @@
         self.assertEqual(1, self.arrivals())
 
     async def test_an_idempotent_call_is_repeated_at_another_endpoint(self) -> None:
-        await self.add_endpoint("e1", platform_standins.break_off)
-        await self.add_endpoint("e2", platform_standins.break_off)
+        await self.add_endpoint("e1", platform_standins.close_without_response)
+        await self.add_endpoint("e2", platform_standins.close_without_response)
         await self.start()
         answer = await self.ask("status", method="GET", body=b"")
         self.assertEqual(502, answer.status)
         self.assertEqual([1, 1], [len(endpoint.received) for endpoint in self.endpoints])
 
     async def test_a_call_that_did_not_run_goes_to_another_endpoint(self) -> None:
-        shedding = await self.add_endpoint("e1", platform_standins.shed)
-        await self.add_endpoint("e2", platform_standins.shed)
+        shedding = await self.add_endpoint("e1", platform_standins.shed_request)
+        await self.add_endpoint("e2", platform_standins.shed_request)
         await self.start()
         answer = await self.ask("book")
         self.assertEqual(503, answer.status)
         self.assertIn("retry-after", answer.headers)
         self.assertEqual(2, self.arrivals())
-        shedding.behaviour = platform_standins.answer_whole
+        shedding.behaviour = platform_standins.send_complete_response
         await asyncio.sleep(0.5)
         self.assertEqual(200, (await self.ask("book")).status)
 
@@ -279,8 +279,8 @@
         ) -> bool:
             other = platform_standins.ReceivedRequest(b"POST / HTTP/1.1\r\n", b"")
             other.headers["x-masticward-request-id"] = "other"
-            writer.write(platform_standins.whole_answer(other, b"wrong"))
-            writer.write(platform_standins.whole_answer(request, b"right"))
+            writer.write(platform_standins.complete_response(other, b"wrong"))
+            writer.write(platform_standins.complete_response(request, b"right"))
             return True
 
         await self.add_endpoint("e1", stray_first)
@@ -292,13 +292,13 @@
         async def doubled(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
-            writer.write(platform_standins.whole_answer(request, b"first") * 2)
+            writer.write(platform_standins.complete_response(request, b"first") * 2)
             return True
 
         endpoint = await self.add_endpoint("e1", doubled)
         await self.start()
         self.assertEqual(b"first", (await self.ask("book")).body)
-        endpoint.behaviour = platform_standins.answer_whole
+        endpoint.behaviour = platform_standins.send_complete_response
         self.assertEqual(b"answer", (await self.ask("book")).body)
 
     async def test_an_unproven_success_is_not_passed_on(self) -> None:
@@ -314,10 +314,12 @@
 
     async def test_an_early_answer_to_a_long_body_is_passed_on(self) -> None:
         class Early(platform_standins.EndpointStandin):
-            async def early_answer(
+            async def early_response(
                 self, request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
             ) -> bool:
-                answer = platform_standins.whole_answer(request).replace(b"200 OK", b"413 Large")
+                answer = platform_standins.complete_response(request).replace(
+                    b"200 OK", b"413 Large"
+                )
                 writer.write(answer)
                 await writer.drain()
                 await asyncio.sleep(0.2)
@@ -387,7 +389,7 @@
 
 class TimeTest(GatewayCase):
     async def test_a_client_that_leaves_frees_its_endpoint(self) -> None:
-        endpoint = await self.add_endpoint("e1", platform_standins.never_answer)
+        endpoint = await self.add_endpoint("e1", platform_standins.never_respond)
         await self.start()
         _, writer = await self.send(self.request("book"))
         await self.wait_until(lambda: endpoint.open_connections == 1)
@@ -398,21 +400,21 @@
     async def test_a_silent_endpoint_does_not_hold_what_may_run_again(self) -> None:
         # Endpoints that run a request and lose its answer stay silent on an open connection.
         for name in ("e1", "e2"):
-            await self.add_endpoint(name, platform_standins.never_answer)
+            await self.add_endpoint(name, platform_standins.never_respond)
         await self.start()
         started = clocks.boot_time()
         reading = asyncio.ensure_future(self.ask("status", method="GET", body=b""))
         await self.wait_until(lambda: self.arrivals() == 1)
         silent = next(endpoint for endpoint in self.endpoints if endpoint.received)
         other = next(endpoint for endpoint in self.endpoints if not endpoint.received)
-        other.behaviour = platform_standins.answer_whole
+        other.behaviour = platform_standins.send_complete_response
         self.assertEqual(200, (await reading).status)
         self.assertLess(clocks.boot_time() - started, 2.0)
         await self.wait_until(lambda: silent.open_connections == 0)
 
     async def test_a_silent_endpoint_keeps_what_must_not_run_again(self) -> None:
         for name in ("e1", "e2"):
-            await self.add_endpoint(name, platform_standins.never_answer)
+            await self.add_endpoint(name, platform_standins.never_respond)
         await self.start()
         self.assertEqual(504, (await self.ask("book")).status)
         self.assertEqual(1, self.arrivals())
@@ -432,7 +434,7 @@
         writer.close()
 
     async def test_the_timeout_of_a_route_gets_a_final_answer(self) -> None:
-        await self.add_endpoint("e1", platform_standins.never_answer)
+        await self.add_endpoint("e1", platform_standins.never_respond)
         await self.start()
         started = clocks.boot_time()
         self.assertEqual(504, (await self.ask("short")).status)
@@ -449,7 +451,7 @@
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
             await asyncio.sleep(1.0)
-            return await platform_standins.answer_whole(request, writer)
+            return await platform_standins.send_complete_response(request, writer)
 
         endpoint = await self.add_endpoint("e1", slow)
         await self.start()
@@ -480,7 +482,7 @@
         key = "Authorization: Bearer key-a\r\n"
         await self.wait_until(lambda: self.fleet.keys_provable(clocks.boot_time()))
         self.assertEqual(200, (await self.ask("keyed", extra=key)).status)
-        self.store.down = True
+        self.store.unavailable = True
         await self.wait_until(lambda: not self.fleet.keys_provable(clocks.boot_time()))
         self.assertEqual(503, (await self.ask("keyed", extra=key)).status)
         self.assertEqual(200, (await self.ask("book")).status)
@@ -517,7 +519,7 @@
 
     async def test_a_forgotten_history_is_read_again_as_a_whole(self) -> None:
         await self.start()
-        self.store.forgotten_before = 10**9
+        self.store.oldest_revision = 10**9
         self.store.put("config", "main", platform_standins.configuration(2))
         await self.wait_until(lambda: self.fleet.configuration.version == 2)  # type: ignore[union-attr]
 
@@ -533,16 +535,16 @@
 
     async def test_a_watch_that_hangs_is_left_when_peers_know_another_listing(self) -> None:
         await self.add_endpoint("e1")
-        self.store.hanging = {"servers"}
+        self.store.hanging_watches = {"servers"}
         await self.start()
         self.store.put_endpoint("e1", self.endpoints[0].address, state="draining")
         await asyncio.sleep(0.3)
         self.assertFalse(self.fleet.table.endpoints["e1"].draining)
-        self.program.list_again()
+        self.program.relist()
         await self.wait_until(lambda: self.fleet.table.endpoints["e1"].draining)
 
     async def test_a_configuration_comes_although_its_watch_hangs(self) -> None:
-        self.store.hanging = {"config"}
+        self.store.hanging_watches = {"config"}
         await self.start()
         self.store.put("config", "main", platform_standins.configuration(2))
         await self.wait_until(lambda: self.fleet.configuration.version == 2)  # type: ignore[union-attr]
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -29,10 +29,10 @@
     """Return the bounds of the users' first site."""
     return gateway.Bounds(
         revoke_seconds=5.0,
-        stop_seconds=8.0,
-        repeat_ratio=0.2,
-        repeat_window_seconds=10.0,
-        repeat_slack=58.0,
+        stop_grace_seconds=8.0,
+        retry_ratio=0.2,
+        retry_window_seconds=10.0,
+        retry_slack=58.0,
         cold_overage=1.5,
         cold_slack=5.0,
     )
@@ -127,9 +127,9 @@
     own_tokens: int = 3_700,
     arrived_at: float = 0.0,
     seconds: float = 8.0,
-) -> gateway.RequestTerms:
+) -> gateway.RequestMetadata:
     """Return a request with a shared part and one of its own."""
-    return gateway.RequestTerms(
+    return gateway.RequestMetadata(
         request_id=request_id,
         method=b"POST",
         target=b"/plan/x",
--- a/tests/lib/platform_standins.py
+++ b/tests/lib/platform_standins.py
@@ -59,10 +59,10 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 request = ReceivedRequest(head, b"")
                 length = int(request.headers.get("content-length", "0"))
-                if await self.early_answer(request, writer):
+                if await self.early_response(request, writer):
                     return
                 request.body = await reader.readexactly(length)
-                if not await self.handle_watching(request, reader, writer):
+                if not await self.handle_until_disconnect(request, reader, writer):
                     return
         except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):
             return
@@ -70,7 +70,7 @@
             self.open_connections -= 1
             writer.close()
 
-    async def handle_watching(
+    async def handle_until_disconnect(
         self,
         request: ReceivedRequest,
         reader: asyncio.StreamReader,
@@ -86,7 +86,7 @@
         await asyncio.gather(work, gone, return_exceptions=True)
         return False if left else work.result()
 
-    async def early_answer(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+    async def early_response(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         """Answer before the body has come; returns whether it did."""
         return False
 
@@ -101,7 +101,7 @@
     def __init__(self, behaviour: Behaviour | None = None) -> None:
         super().__init__()
         self.received: list[ReceivedRequest] = []
-        self.behaviour = behaviour or answer_whole
+        self.behaviour = behaviour or send_complete_response
 
     async def handle(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         """Answer one request."""
@@ -109,7 +109,7 @@
         return await self.behaviour(request, writer)
 
 
-def whole_answer(request: ReceivedRequest, body: bytes = b"answer", extra: str = "") -> bytes:
+def complete_response(request: ReceivedRequest, body: bytes = b"answer", extra: str = "") -> bytes:
     """Return the bytes of a whole answer with its proof."""
     head = (
         f"HTTP/1.1 200 OK\r\nX-Masticward-Request-Id: {request.request_id}\r\n{PROOF}{extra}"
@@ -118,18 +118,18 @@
     return head.encode() + body
 
 
-async def answer_whole(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+async def send_complete_response(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
     """Answer a request as a sound endpoint."""
-    writer.write(whole_answer(request))
+    writer.write(complete_response(request))
     return True
 
 
-async def break_off(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+async def close_without_response(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
     """Close the connection without an answer."""
     return False
 
 
-async def shed(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+async def shed_request(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
     """Refuse a request as not run."""
     writer.write(
         b"HTTP/1.1 503 Service Unavailable\r\nX-Masticward-Not-Executed: 1\r\n"
@@ -138,7 +138,7 @@
     return True
 
 
-async def never_answer(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+async def never_respond(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
     """Keep a request without an answer."""
     await asyncio.sleep(60.0)
     return False
@@ -153,10 +153,10 @@
         self.history: list[tuple[int, str, dict[str, typing.Any], bool]] = []
         self.revision = 1
         self.changed = asyncio.Event()
-        self.down = False
+        self.unavailable = False
         # Watches of these kinds hang: the connection stays open and nothing comes.
-        self.hanging: set[str] = set()
-        self.forgotten_before = 0
+        self.hanging_watches: set[str] = set()
+        self.oldest_revision = 0
         self.calls: list[str] = []
 
     def put(self, kind: str, name: str, spec: typing.Any) -> None:
@@ -192,15 +192,15 @@
     async def handle(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         """Answer one call."""
         self.calls.append(f"{request.method} {request.target}")
-        if self.down:
+        if self.unavailable:
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             return True
-        status, body = await self.answer(request)
+        status, body = await self.respond(request)
         data = json.dumps(body).encode()
         writer.write(f"HTTP/1.1 {status} X\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data)
         return True
 
-    async def answer(self, request: ReceivedRequest) -> tuple[int, typing.Any]:
+    async def respond(self, request: ReceivedRequest) -> tuple[int, typing.Any]:
         """Return status and body of a call."""
         parts = urllib.parse.urlsplit(request.target)
         kind = parts.path.split("/")[2]
@@ -209,7 +209,7 @@
             document = json.loads(request.body)
             self.put(kind, document["metadata"]["name"], document["spec"])
             return 200, document
-        if "watch" in query and kind in self.hanging:
+        if "watch" in query and kind in self.hanging_watches:
             await asyncio.sleep(60.0)
         if "watch" in query:
             return await self.watch(kind, int(query["watch"]), int(query["wait_ms"]) / 1000)
@@ -218,7 +218,7 @@
 
     async def watch(self, kind: str, revision: int, wait: float) -> tuple[int, typing.Any]:
         """Return the changes after a revision."""
-        if revision < self.forgotten_before:
+        if revision < self.oldest_revision:
             return 410, {}
         deadline = asyncio.get_running_loop().time() + wait
         while True:
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -85,9 +85,9 @@
         chance = self.random.random
         if chance() < self.sheds:
             arrival.run = False
-            return await platform_standins.shed(request, writer)
+            return await platform_standins.shed_request(request, writer)
         if chance() < self.mute:
-            return await platform_standins.never_answer(request, writer)
+            return await platform_standins.never_respond(request, writer)
         stream = request.target.startswith(("/plan/", "/note/"))
         await asyncio.sleep(self.random.uniform(0.005, 0.04) * self.slow)
         if chance() < self.answer_lost:
@@ -98,7 +98,7 @@
         garbled = chance() < self.garbled
         if stream:
             return await self.stream(request, writer, garbled)
-        whole = platform_standins.whole_answer(request, body=request.request_id.encode() * 3)
+        whole = platform_standins.complete_response(request, body=request.request_id.encode() * 3)
         writer.write(whole[: len(whole) // 2] if garbled else whole)
         return not garbled
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -68,13 +68,13 @@
             writer.write(b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n")
             return True
         if request.method != "GET" and self.random.random() < self.lost_share:
-            await self.answer(request)
+            await self.respond(request)
             return False
         return await super().handle(request, writer)
 
     def forget_history(self) -> None:
         """Answer 410 to watches from before now, as after a compaction."""
-        self.forgotten_before = self.revision
+        self.oldest_revision = self.revision
 
 
 class Span:
--- a/tests/unit/test_gateway_peering.py
+++ b/tests/unit/test_gateway_peering.py
@@ -276,7 +276,7 @@
     async def test_own_figures_survive_encoding(self) -> None:
         fleet = builders.make_fleet(builders.make_endpoint("e1"))
         own = peering.Peering(fleet, builders.NoStore())
-        fleet.loads.begin("e1", 5, 7)
+        fleet.loads.start_request("e1", 5, 7)
         own.note_prompt("e1", [(2**64 - 1, 10), (3, 20)])
         raw = gateway_peers.encode_content(own.own_figures())
         message = gateway_peers.PeerMessage(1.0, 2.0, 3, raw)
--- a/tests/unit/test_gateway_state.py
+++ b/tests/unit/test_gateway_state.py
@@ -7,13 +7,13 @@
 
 from masticward.gateway import calls
 from masticward.state import (
-    cold_pace,
+    cold_start,
     endpoint_health,
     endpoint_table,
-    load_board,
+    load_table,
     placement,
     prompt_cache,
-    repeats,
+    retry_window,
     team_usage,
 )
 from tests.lib import gateway_builders as builders
@@ -21,7 +21,7 @@
 
 def make_view() -> placement.PlacementView:
     return placement.PlacementView(
-        load_board.LoadBoard(), prompt_cache.CacheMap(), endpoint_health.HealthBook()
+        load_table.LoadTable(), prompt_cache.PromptCaches(), endpoint_health.HealthTracker()
     )
 
 
@@ -35,17 +35,17 @@
 
     def choose(self, shared: str, request_id: str = "q", waited: float = 0.0) -> placement.Choice:
         terms = builders.make_terms(request_id, shared)
-        keys = prompt_cache.chain_keys(terms.parts)
+        keys = prompt_cache.prefix_keys(terms.parts)
         assert self.engine is not None
         states = placement.engine_states(self.engines, self.engine, self.view, 0.0)
-        weight = placement.reread_weight(waited, 0.8, placement.busy_share(states))
+        weight = placement.recompute_weight(waited, 0.8, placement.prefill_utilization(states))
         choice = placement.choose_engine(
             states,
             self.engine,
             keys,
             terms,
             weight,
-            placement.UNREAD_WINDOW_SECONDS,
+            placement.PREFILL_WINDOW_SECONDS,
         )
         assert choice is not None
         return choice
@@ -61,68 +61,68 @@
         owner = self.choose("doc").endpoint.id
         other = next(item.id for item in self.engines if item.id != owner)
         terms = builders.make_terms("before")
-        cache = self.view.caches.engine(other, builders.CACHE_TOKENS)
-        cache.note_read(prompt_cache.chain_keys(terms.parts))
+        cache = self.view.caches.get(other, builders.CACHE_TOKENS)
+        cache.record_prompt(prompt_cache.prefix_keys(terms.parts))
         choice = self.choose("doc")
         self.assertEqual(other, choice.endpoint.id)
         self.assertEqual(3_700, choice.unread_tokens)
 
     def test_a_hot_shared_part_spills_when_its_engine_has_much_unread(self) -> None:
         owner = self.choose("doc").endpoint.id
-        self.view.loads.begin(owner, 200_000, 200_000)
+        self.view.loads.start_request(owner, 200_000, 200_000)
         self.assertNotEqual(owner, self.choose("doc").endpoint.id)
 
     def test_a_request_that_has_waited_takes_another_engine_than_its_owner(self) -> None:
         owner = self.choose("doc").endpoint.id
-        cache = self.view.caches.engine(owner, builders.CACHE_TOKENS)
-        cache.note_read(prompt_cache.chain_keys(builders.make_terms("before").parts))
-        self.view.loads.begin(owner, 40_000, 40_000)
+        cache = self.view.caches.get(owner, builders.CACHE_TOKENS)
+        cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms("before").parts))
+        self.view.loads.start_request(owner, 40_000, 40_000)
         self.assertEqual(owner, self.choose("doc").endpoint.id)
         self.assertNotEqual(owner, self.choose("doc", waited=0.4).endpoint.id)
 
     def test_while_all_engines_are_busy_a_shared_part_is_not_read_again(self) -> None:
         # Everyone above capacity: reading a part twice takes the time of other requests.
         owner = self.choose("doc").endpoint.id
-        cache = self.view.caches.engine(owner, builders.CACHE_TOKENS)
-        cache.note_read(prompt_cache.chain_keys(builders.make_terms("before").parts))
+        cache = self.view.caches.get(owner, builders.CACHE_TOKENS)
+        cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms("before").parts))
         for engine in self.engines:
-            self.view.loads.begin(engine.id, 12_000, 12_000)
-        self.view.loads.begin(owner, 20_000, 20_000)
+            self.view.loads.start_request(engine.id, 12_000, 12_000)
+        self.view.loads.start_request(owner, 20_000, 20_000)
         self.assertEqual(owner, self.choose("doc", waited=0.4).endpoint.id)
 
     def test_an_engine_with_a_full_window_gets_nothing_more(self) -> None:
         for engine in self.engines:
-            self.view.loads.begin(engine.id, 100_000, 100_000)
-        self.assertFalse(self.choose("doc").allowed)
+            self.view.loads.start_request(engine.id, 100_000, 100_000)
+        self.assertFalse(self.choose("doc").has_capacity)
 
     def test_where_no_engine_has_room_no_choice_is_allowed(self) -> None:
         assert self.engine is not None
         for unread in (0, 9_000, 17_000, 18_000):
             self.view = make_view()
             for engine in self.engines:
-                self.view.loads.begin(engine.id, unread, unread)
+                self.view.loads.start_request(engine.id, unread, unread)
             states = placement.engine_states(self.engines, self.engine, self.view, 0.0)
-            room = placement.any_room(states, self.engine, placement.UNREAD_WINDOW_SECONDS)
+            room = placement.any_has_capacity(states, self.engine, placement.PREFILL_WINDOW_SECONDS)
             self.assertEqual(unread < 17_500, room)
             if not room:
-                self.assertFalse(self.choose("doc").allowed)
+                self.assertFalse(self.choose("doc").has_capacity)
 
     def test_an_idle_engine_takes_any_request(self) -> None:
         self.engines = self.engines[:1]
-        self.assertTrue(self.choose("doc").allowed)
+        self.assertTrue(self.choose("doc").has_capacity)
 
     def test_a_failing_engine_is_avoided(self) -> None:
         owner = self.choose("doc").endpoint.id
         for _ in range(10):
-            self.view.health.note_failure(owner, 0.0)
+            self.view.health.record_failure(owner, 0.0)
         self.assertNotEqual(owner, self.choose("doc").endpoint.id)
 
     def test_peers_loads_count_until_they_are_old(self) -> None:
         owner = self.choose("doc").endpoint.id
-        loads = {owner: load_board.EndpointLoad(200_000, 10, 200_000)}
-        self.view.loads.note_peer("g2", loads, 0.0)
+        loads = {owner: load_table.EndpointLoad(200_000, 10, 200_000)}
+        self.view.loads.set_peer_loads("g2", loads, 0.0)
         self.assertNotEqual(owner, self.choose("doc").endpoint.id)
-        self.view.loads.drop_silent(load_board.PEER_FIGURES_SECONDS + 0.1)
+        self.view.loads.remove_stale_peers(load_table.PEER_LOADS_MAX_AGE_SECONDS + 0.1)
         self.assertEqual(0, self.view.loads.total(owner).requests)
         self.assertEqual({}, dict(self.view.loads.peer_totals))
 
@@ -131,22 +131,22 @@
     """Guards against a slowness that settles beside the true factor."""
 
     def test_slowness_settles_at_the_measured_factor(self) -> None:
-        book = endpoint_health.HealthBook()
+        book = endpoint_health.HealthTracker()
         for _ in range(100):
-            book.note_speed("e", 2.0 + endpoint_health.LATE_SECONDS, 0.5, 0.0)
-        self.assertAlmostEqual(4.0, book.record("e", 0.0).slowness, places=2)
+            book.record_latency("e", 2.0 + endpoint_health.LATENCY_TOLERANCE_SECONDS, 0.5, 0.0)
+        self.assertAlmostEqual(4.0, book.get("e", 0.0).slowness, places=2)
 
     def test_short_delays_of_sound_engines_do_not_count_as_slowness(self) -> None:
         # Each gateway sees few requests at each engine and would prefer others by chance.
-        book = endpoint_health.HealthBook()
+        book = endpoint_health.HealthTracker()
         for measured in (0.03, 0.09, 0.05, 0.12):
-            book.note_speed("e", measured, 0.02, 0.0)
-        self.assertLess(book.record("e", 0.0).slowness, 1.05)
+            book.record_latency("e", measured, 0.02, 0.0)
+        self.assertLess(book.get("e", 0.0).slowness, 1.05)
 
     def test_a_sound_endpoint_is_used_again_after_failures(self) -> None:
-        book = endpoint_health.HealthBook()
+        book = endpoint_health.HealthTracker()
         for _ in range(5):
-            book.note_failure("e", 0.0)
+            book.record_failure("e", 0.0)
         self.assertGreater(book.failure_ratio("e", 0.0), 0.5)
         self.assertLess(book.failure_ratio("e", 20.0), 0.05)
 
@@ -171,19 +171,19 @@
         self.assertEqual([], self.usable(10.0))
 
     def test_an_endpoint_missing_after_an_outage_stays_for_the_grace(self) -> None:
-        self.table.note_store_return(10.0)
+        self.table.start_relist_grace(10.0)
         self.table.apply([], True, 10.1)
         self.assertEqual(["e1"], self.usable(11.9))
         changes: list[endpoint_table.Change] = []
-        self.table.drop_missing(12.1, changes)
+        self.table.remove_expired(12.1, changes)
         self.assertEqual([], self.usable(12.1))
         self.assertEqual(["gone"], [change.state for change in changes])
 
     def test_an_endpoint_listed_again_within_the_grace_stays(self) -> None:
-        self.table.note_store_return(10.0)
+        self.table.start_relist_grace(10.0)
         self.table.apply([], True, 10.1)
         self.table.apply([("e1", self.endpoint)], False, 11.0)
-        self.table.drop_missing(20.0, [])
+        self.table.remove_expired(20.0, [])
         self.assertEqual(["e1"], self.usable(20.0))
 
     def test_a_zone_that_is_out_gets_nothing_and_is_cold_when_back(self) -> None:
@@ -232,8 +232,8 @@
     ) -> None:
         bounds = builders.make_bounds()
         budgets = [
-            repeats.RepeatBudget(
-                bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_seconds
+            retry_window.WindowedRetryBudget(
+                bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_seconds
             )
             for _ in range(gateways)
         ]
@@ -244,13 +244,13 @@
             now += pause
             budget = budgets[index % gateways]
             if is_request:
-                budget.note_request(now)
+                budget.record_request(now)
                 requests.append(now)
             elif budget.take(now, gateways):
                 taken.append(now)
-            window = now - bounds.repeat_window_seconds
+            window = now - bounds.retry_window_seconds
             in_window = sum(1 for time in taken if time > window)
-            allowed = bounds.repeat_slack + bounds.repeat_ratio * sum(
+            allowed = bounds.retry_slack + bounds.retry_ratio * sum(
                 1 for time in requests if time > window
             )
             self.assertLessEqual(in_window, allowed)
@@ -265,13 +265,13 @@
     ) -> None:
         bounds = builders.make_bounds()
         names = [f"g{number}" for number in range(gateways)]
-        paces = {name: cold_pace.ColdPace() for name in names}
+        paces = {name: cold_start.ColdStartLimiter() for name in names}
         rate = 8.0
         sent: list[float] = []
         for now in sorted(offsets):
             for name, pace in paces.items():
                 if pace.may_send("e", rate, name, names, now):
-                    pace.note_sent("e", rate, gateways, now)
+                    pace.record_send("e", rate, gateways, now)
                     sent.append(now)
         most = rate * bounds.cold_overage + bounds.cold_slack
         for start in sent:
@@ -279,7 +279,7 @@
 
     def test_a_minority_of_gateways_sends_to_a_cold_endpoint(self) -> None:
         names = [f"g{number}" for number in range(25)]
-        self.assertEqual(cold_pace.COLD_SENDERS, len(cold_pace.senders("e", names)))
+        self.assertEqual(cold_start.MAX_SENDERS, len(cold_start.senders("e", names)))
 
 
 class TeamUsageTest(unittest.TestCase):
@@ -287,33 +287,35 @@
 
     def test_peers_tokens_count_and_decay(self) -> None:
         usage = team_usage.TeamUsage()
-        usage.note("a", 1000, 10.0)
-        usage.note_peer("g2", {"a": 500.0}, 10.0)
-        self.assertAlmostEqual(1500.0, usage.recent("a", 10.0))
-        self.assertLess(usage.recent("a", 14.0), 600.0)
+        usage.record("a", 1000, 10.0)
+        usage.set_peer_usage("g2", {"a": 500.0}, 10.0)
+        self.assertAlmostEqual(1500.0, usage.team_total("a", 10.0))
+        self.assertLess(usage.team_total("a", 14.0), 600.0)
 
     def test_nobody_is_above_the_share_while_all_that_was_asked_is_served(self) -> None:
         figures = {"flood": 1_000_000.0, "small": 1_000.0}
-        self.assertEqual({}, team_usage.excess_of_share(figures, figures))
+        self.assertEqual({}, team_usage.excess_over_share(figures, figures))
 
     def test_a_flood_is_above_its_share_while_others_go_short(self) -> None:
         asked = {"flood": 1_000_000.0, "middle": 300_000.0, "small": 1_000.0}
         begun = {"flood": 400_000.0, "middle": 100_000.0, "small": 1_000.0}
-        self.assertEqual({"flood": 1.6}, team_usage.excess_of_share(asked, begun))
+        self.assertEqual({"flood": 1.6}, team_usage.excess_over_share(asked, begun))
 
     def test_the_more_a_team_is_above_its_share_the_less_of_an_engine_it_may_fill(self) -> None:
         # Two teams above capacity: one reaches its engines through a slow, crowded gateway, the
         # other through many. Equal windows would give the second one several times as much.
-        windows = [placement.window_seconds(excess) for excess in (None, 1.01, 1.5, 2.0, 9.0)]
+        windows = [
+            placement.prefill_window_seconds(excess) for excess in (None, 1.01, 1.5, 2.0, 9.0)
+        ]
         self.assertEqual(sorted(windows, reverse=True), windows)
-        self.assertEqual(placement.UNREAD_WINDOW_SECONDS, windows[0])
+        self.assertEqual(placement.PREFILL_WINDOW_SECONDS, windows[0])
         self.assertAlmostEqual(windows[1] / 2, windows[3], delta=0.01)
         # Engines never idle for it: the window outlasts the way of news between gateways.
-        self.assertEqual(placement.LEAST_WINDOW_SECONDS, windows[-1])
+        self.assertEqual(placement.MIN_WINDOW_SECONDS, windows[-1])
 
     @given(st.lists(st.floats(0.0, 1e6), min_size=1, max_size=30), st.floats(1.0, 1e6))
     def test_fair_share_is_max_min(self, demands: list[float], capacity: float) -> None:
-        share = team_usage.fair_share(demands, capacity)
+        share = team_usage.max_min_share(demands, capacity)
         served = sum(min(demand, share) for demand in demands)
         self.assertLessEqual(served, capacity * 1.001 + 1e-6)
         if share != float("inf"):
@@ -326,15 +328,15 @@
     def test_a_part_counts_only_behind_its_predecessors(self) -> None:
         cache = prompt_cache.EngineCache(100_000)
         first = builders.make_terms("q1", "doc-a").parts
-        cache.note_read(prompt_cache.chain_keys(first))
+        cache.record_prompt(prompt_cache.prefix_keys(first))
         other = (*builders.make_terms("q2", "doc-b").parts[:1], first[1])
-        self.assertEqual(0, cache.cached_tokens(prompt_cache.chain_keys(other)))
+        self.assertEqual(0, cache.cached_tokens(prompt_cache.prefix_keys(other)))
 
     def test_the_least_recently_used_part_yields(self) -> None:
         cache = prompt_cache.EngineCache(40_000)
         for name in ("doc-a", "doc-b"):
-            cache.note_read(prompt_cache.chain_keys(builders.make_terms(name, name).parts))
-        first = prompt_cache.chain_keys(builders.make_terms("again", "doc-a").parts)
-        second = prompt_cache.chain_keys(builders.make_terms("again", "doc-b").parts)
+            cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms(name, name).parts))
+        first = prompt_cache.prefix_keys(builders.make_terms("again", "doc-a").parts)
+        second = prompt_cache.prefix_keys(builders.make_terms("again", "doc-b").parts)
         self.assertEqual(0, cache.cached_tokens(first))
         self.assertEqual(13_000, cache.cached_tokens(second))
--- a/tests/unit/test_gateway_waiting.py
+++ b/tests/unit/test_gateway_waiting.py
@@ -6,7 +6,7 @@
 
 from masticward.gateway import placer, request_path
 from masticward.models import gateway
-from masticward.state import cold_pace, load_board, placement, prompt_cache
+from masticward.state import cold_start, load_table, placement, prompt_cache
 from masticward.utils import clocks
 from tests.lib import gateway_builders as builders
 
@@ -71,19 +71,21 @@
         await self.ask("other")
         first = await self.ask("a")
         second = await self.ask("b")
-        self.fleet.usage.note_peer("g2", {"a": 1_000_000.0}, self.now)
+        self.fleet.usage.set_peer_usage("g2", {"a": 1_000_000.0}, self.now)
         await self.free_engine()
         self.assertEqual([False, True], [first.done(), second.done()])
 
     async def test_an_idle_engine_serves_any_team_at_once(self) -> None:
-        self.fleet.usage.note_peer("g2", {"a": 1_000_000.0}, self.now)
+        self.fleet.usage.set_peer_usage("g2", {"a": 1_000_000.0}, self.now)
         self.assertTrue((await self.ask("a")).done())
 
     async def test_a_flood_leaves_part_of_a_busy_engine_to_others(self) -> None:
         # The others' requests may wait at other gateways, whose queues this one does not see.
-        self.fleet.usage.note_peer("g2", {"flood": 500_000.0, "small": 1_000.0}, self.now)
-        self.fleet.asked.note_peer("g2", {"flood": 900_000.0, "small": 90_000.0}, self.now)
-        self.fleet.loads.note_peer("g2", {"e1": load_board.EndpointLoad(200, 1, 200)}, self.now)
+        self.fleet.usage.set_peer_usage("g2", {"flood": 500_000.0, "small": 1_000.0}, self.now)
+        self.fleet.asked.set_peer_usage("g2", {"flood": 900_000.0, "small": 90_000.0}, self.now)
+        self.fleet.loads.set_peer_loads(
+            "g2", {"e1": load_table.EndpointLoad(200, 1, 200)}, self.now
+        )
         flood = await self.ask("flood")
         self.assertFalse(flood.done())
         small = await self.ask("small")
@@ -96,23 +98,27 @@
         # The short team's shared part lies on an engine that is full; the others are half full.
         engines = [builders.make_endpoint(f"e{number}") for number in range(4)]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
-        self.fleet.usage.note_peer("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
-        self.fleet.asked.note_peer("g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now)
+        self.fleet.usage.set_peer_usage("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
+        self.fleet.asked.set_peer_usage(
+            "g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now
+        )
         parts = builders.make_terms("before", "doc", 6_000).parts
-        cache = self.fleet.caches.engine("e0", builders.CACHE_TOKENS)
-        cache.note_read(prompt_cache.chain_keys(parts))
-        self.fleet.loads.begin("e0", 17_400, 17_400)
+        cache = self.fleet.caches.get("e0", builders.CACHE_TOKENS)
+        cache.record_prompt(prompt_cache.prefix_keys(parts))
+        self.fleet.loads.start_request("e0", 17_400, 17_400)
         for name in ("e1", "e2", "e3"):
-            self.fleet.loads.begin(name, 9_000, 9_000)
+            self.fleet.loads.start_request(name, 9_000, 9_000)
         terms = builders.make_terms("q", "doc", 6_000, 2_000, arrived_at=self.now)
         route = builders.make_route()
         request = placer.Waiting(terms, route, "llm", "short", self.now + 5.0)
         task = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(task)
         await asyncio.sleep(0)
-        self.now += placement.PATIENT_SHARE * route.target_latency_seconds
-        self.fleet.usage.note_peer("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
-        self.fleet.asked.note_peer("g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now)
+        self.now += placement.AFFINITY_WAIT_FRACTION * route.target_latency_seconds
+        self.fleet.usage.set_peer_usage("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
+        self.fleet.asked.set_peer_usage(
+            "g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now
+        )
         self.placer.pump("llm")
         await asyncio.sleep(0)
         self.assertTrue(task.done())
@@ -131,10 +137,10 @@
         # All large ones share a part that e1 has read; e2 is idle.
         engines = [builders.make_endpoint(name) for name in ("e1", "e2")]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
-        shared = prompt_cache.chain_keys(builders.make_terms("before", "doc", 39_000).parts)
-        self.fleet.caches.engine("e1", builders.CACHE_TOKENS).note_read(shared)
-        self.fleet.loads.begin("e1", 17_000, 17_000)
-        self.fleet.loads.begin("e2", 1, 1)
+        shared = prompt_cache.prefix_keys(builders.make_terms("before", "doc", 39_000).parts)
+        self.fleet.caches.get("e1", builders.CACHE_TOKENS).record_prompt(shared)
+        self.fleet.loads.start_request("e1", 17_000, 17_000)
+        self.fleet.loads.start_request("e2", 1, 1)
         large = []
         for number in range(20):
             terms = builders.make_terms(f"l{number}", "doc", 39_000, arrived_at=self.now)
@@ -263,12 +269,12 @@
             self.fleet.loads.own.clear()
             self.placer.pump("llm")
             await asyncio.sleep(0)
-        self.assertLessEqual(self.served(tasks), 8.0 / cold_pace.COLD_SENDERS + 1)
+        self.assertLessEqual(self.served(tasks), 8.0 / cold_start.MAX_SENDERS + 1)
 
     async def test_a_third_of_the_engines_gone_leaves_the_others_in_use(self) -> None:
         engines = [builders.make_endpoint(f"e{number}") for number in range(3)]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
-        self.fleet.health.note_unreachable("e2", self.now)
+        self.fleet.health.record_unreachable("e2", self.now)
         tasks = [await self.ask("a") for _ in range(6)]
         used = {
             task.result().endpoint.id
--- a/tests/unit/test_loop_lag.py
+++ b/tests/unit/test_loop_lag.py
@@ -15,7 +15,7 @@
         found = []
         for _ in range(count):
             self.now += 0.25 + late_seconds
-            self.lag.note(late_seconds, self.now)
+            self.lag.record(late_seconds, self.now)
             found.append(self.lag.overloaded)
         return found
 
