--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -70,7 +70,7 @@
         headers = self.dependencies.codec.refusal_headers(request_id, refusal.retry_after_seconds)
         await responder.send(refusal.status, headers, b"")
 
-    def check(self, terms: gateway.RequestTerms) -> tuple[gateway.Route, str | None]:
+    def check(self, terms: gateway.RequestMetadata) -> tuple[gateway.Route, str | None]:
         """Return route and team of a request; raises RefusalError."""
         fleet = self.fleet
         configuration = fleet.configuration
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -78,13 +78,13 @@
         target: bytes,
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
-    ) -> gateway.RequestTerms:
+    ) -> gateway.RequestMetadata:
         """Return what a request says of itself; raises BadRequestError."""
 
     @abc.abstractmethod
     def encode_request(
         self,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         endpoint: gateway.Endpoint,
         team: str | None,
         remaining_ms: int,
@@ -96,7 +96,7 @@
     @abc.abstractmethod
     def decode_response_head(
         self, status: int, headers: list[tuple[bytes, bytes]]
-    ) -> gateway.AnswerMarks:
+    ) -> gateway.ResponseMetadata:
         """Return what the head of an endpoint's answer says."""
 
     @abc.abstractmethod
