--- a/src/masticward/bench/queue_costs.py
+++ b/src/masticward/bench/queue_costs.py
@@ -145,8 +145,10 @@
 
 def new_queue() -> fair_queue.FairQueue:
     """Return an empty fair-share queue."""
-    terms = ledger.Terms(shares={}, maximum_cost=MAXIMUM_COST, debt_cap=MAXIMUM_COST * 100)
-    times = ledger.VirtualTimes(terms)
+    terms = ledger.FairShareParameters(
+        shares={}, maximum_cost=MAXIMUM_COST, debt_cap=MAXIMUM_COST * 100
+    )
+    times = ledger.VirtualTimeLedger(terms)
     return fair_queue.FairQueue(fair_queue.FairSharePolicy(times), times)
 
 
@@ -182,7 +184,7 @@
         queue.add(ticket)
         taken = queue.take(now)
         if taken is not None:
-            queue.settle(taken.ticket.id, 10.0)
+            queue.end_reservation(taken.ticket.id, 10.0)
     return (time.perf_counter() - begun) / len(fresh) * MICROSECONDS
 
 
@@ -197,7 +199,7 @@
         reports.append({team: totals[team]})
     begun = time.perf_counter()
     for report in reports:
-        queue.report("agent", 1, report, {}, {})
+        queue.apply_report("agent", 1, report, {}, {})
     return (time.perf_counter() - begun) / len(reports) * MICROSECONDS
 
 
@@ -243,7 +245,7 @@
     return (time.perf_counter() - begun) / count * MICROSECONDS
 
 
-def filled_ledger(teams: int) -> ledger.VirtualTimes:
+def filled_ledger(teams: int) -> ledger.VirtualTimeLedger:
     """Return a ledger with backlogged teams, each served by two of the agents."""
     queue = fill_queue(teams, teams)
     for number in range(AGENT_COUNT):
@@ -252,7 +254,7 @@
             for team in range(teams)
             if team % (AGENT_COUNT // 2) == number % (AGENT_COUNT // 2)
         }
-        queue.report(f"agent-{number}", 1_764_000_000_000_000_000, totals, {}, {})
+        queue.apply_report(f"agent-{number}", 1_764_000_000_000_000_000, totals, {}, {})
     return queue.ledger
 
 
--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -90,7 +90,7 @@
     ) -> None:
         self.view = view
         self.service = service
-        self.ledger = ledger.VirtualTimes(self.read_terms())
+        self.ledger = ledger.VirtualTimeLedger(self.read_terms())
         policy = fair_queue.create_policy(policy_name, self.ledger)
         self.queue = fair_queue.FairQueue(policy, self.ledger)
         self.entries: dict[str, dispatch_role.EntryPeer] = {}
@@ -155,9 +155,9 @@
         if earlier is not None and earlier is not peer:
             self.queue.remove(ticket.id)
             self.forget_ticket(ticket.id)
-        candidate = self.ledger.candidate
+        candidate = self.ledger.pending_snapshot
         if self.queue.add(ticket):
-            if candidate is not None and self.ledger.candidate is None:
+            if candidate is not None and self.ledger.pending_snapshot is None:
                 self.note_adoption(candidate)
             self.ticket_entries[ticket.id] = peer
             peer.tickets.add(ticket.id)
@@ -266,7 +266,9 @@
         finished = {key: cost for key, cost in report.finished.items() if key in agent.tickets}
         for ticket_id in progress:
             self.unstarted.pop(ticket_id, None)
-        self.queue.report(peer.agent_id, peer.incarnation, report.counters, progress, finished)
+        self.queue.apply_report(
+            peer.agent_id, peer.incarnation, report.counters, progress, finished
+        )
         for ticket_id in finished:
             agent.assigned.pop(self.dispatched[ticket_id].slot_id, None)
             self.end_dispatch(ticket_id)
@@ -311,7 +313,7 @@
                 agent.position = None
         return None
 
-    def assign(self, taken: fair_queue.Taken, agent: AgentSlots, now: float) -> None:
+    def assign(self, taken: fair_queue.TakenTicket, agent: AgentSlots, now: float) -> None:
         """Give a slot of the agent to a ticket and tell its entry."""
         ticket = taken.ticket
         entry = self.ticket_entries[ticket.id]
@@ -350,7 +352,7 @@
             return
         self.unstarted.pop(ticket_id, None)
         dispatched.agent.tickets.discard(ticket_id)
-        self.queue.settle(ticket_id)
+        self.queue.end_reservation(ticket_id)
         if self.agents.get(dispatched.agent.peer.agent_id) is dispatched.agent:
             self.place(dispatched.agent)
 
@@ -414,7 +416,7 @@
         """Use the newest configuration and members."""
         if self.view.configuration is not self.configuration:
             self.configuration = self.view.configuration
-            self.ledger.set_terms(self.read_terms())
+            self.ledger.set_parameters(self.read_terms())
         self.refresh_eligible()
         self.match()
 
@@ -427,7 +429,7 @@
             if agent.position is None and agent.free:
                 self.place(agent)
 
-    def read_terms(self) -> ledger.Terms:
+    def read_terms(self) -> ledger.FairShareParameters:
         """Return shares and limits from the newest configuration.
 
         The debt cap is what one team can owe when it holds every slot with requests of the
@@ -439,7 +441,7 @@
         service = next((item for item in services if item.name == self.service), None)
         maximum_cost = service.maximum_cost if service is not None else UNKNOWN_MAXIMUM_COST
         slots = max(1, service.endpoints * service.warm_limit) if service is not None else 1
-        return ledger.Terms(
+        return ledger.FairShareParameters(
             shares={team.name: team.share for team in teams},
             maximum_cost=maximum_cost,
             debt_cap=maximum_cost * slots,
@@ -449,7 +451,7 @@
 
     def offer_snapshot(self, snapshot: ledger.Snapshot) -> None:
         """Adopt a snapshot that includes more service than this dispatcher knows."""
-        if self.ledger.offer_snapshot(snapshot) and self.ledger.candidate is None:
+        if self.ledger.offer_snapshot(snapshot) and self.ledger.pending_snapshot is None:
             self.note_adoption(snapshot)
 
     def note_adoption(self, snapshot: ledger.Snapshot) -> None:
@@ -468,7 +470,7 @@
         if basis == self.snapshot_basis or not self.ledger.active:
             return None
         self.snapshot_basis = basis
-        self.ledger.forget_agents({member.id for member in self.view.members()})
+        self.ledger.drop_departed_agents({member.id for member in self.view.members()})
         return self.ledger.snapshot()
 
     @property
@@ -497,7 +499,7 @@
             "system_virtual_time": self.ledger.system_time,
             "teams": {
                 team: {
-                    "waiting": accounts[team].queued,
+                    "waiting": accounts[team].waiting,
                     "running": accounts[team].running,
                     "served": self.served[team],
                     "virtual_time": accounts[team].effective,
--- a/src/masticward/coordination/endpoint_runner.py
+++ b/src/masticward/coordination/endpoint_runner.py
@@ -144,13 +144,13 @@
         """Take the attempt in or tell why not. Its slot is used up in both cases."""
         now = time.monotonic()
         reason = self.checks.check_addressee(request)
-        if reason is None and self.attempts.is_known(request.attempt_id):
+        if reason is None and self.attempts.is_accepted(request.attempt_id):
             reason = Reason.DUPLICATE_ATTEMPT
         if reason is None:
             turnaround = self.slots.age(request.slot_id, now)
             if turnaround is not None and self.work_waits:
-                self.capacity.depth.note_turnaround(turnaround)
-            slot_reason = self.slots.take(request.slot_id, now)
+                self.capacity.staged_depth.note_turnaround(turnaround)
+            slot_reason = self.slots.use(request.slot_id, now)
             reason = self.checks.on_arrival(request) or slot_reason
         if reason is None:
             reason = self.check_room(request, now)
@@ -164,7 +164,7 @@
         service = self.checks.service
         if service is None or not admission_checks.find_operation(service, request.call.operation):
             return Reason.NO_CONFIGURATION
-        return None if self.capacity.room(len(self.staged), now) > 0 else Reason.AT_LIMIT
+        return None if self.capacity.available_calls(len(self.staged), now) > 0 else Reason.AT_LIMIT
 
     def refusal_of(
         self, request: attempts.AttemptRequest, reason: Reason, detail: str = ""
@@ -208,7 +208,7 @@
             lambda run: self.checks.on_start(run.request.call.deadline)
         ):
             self.refuse_waiting(run, reason)
-        for _ in range(self.capacity.surplus(len(self.staged))):
+        for _ in range(self.capacity.excess_staged_calls(len(self.staged))):
             self.refuse_waiting(self.staged.take_last(), Reason.AT_LIMIT)
 
     def refuse_waiting(self, run: runs.Run, reason: Reason) -> None:
@@ -270,7 +270,7 @@
 
     def go_cold(self, cause: str) -> None:
         """Return to the cold limit."""
-        self.capacity.limit.go_cold()
+        self.capacity.limit.reset_to_cold()
         self.note_cold(cause)
 
     def note_cold(self, cause: str) -> None:
@@ -325,14 +325,16 @@
         now = time.monotonic()
         room = 0
         if self.checks.check_standing() is None:
-            room = self.capacity.room(len(self.staged), now) - self.slots.issued(now)
+            room = self.capacity.available_calls(len(self.staged), now) - self.slots.count_valid(
+                now
+            )
         slot_ids, deadline = self.slots.issue(room, now)
         return offers.OfferedSlots(slot_ids=slot_ids, deadline=deadline)
 
     def return_slots(self, slot_ids: tuple[int, ...]) -> None:
         """Take back slots that a dispatcher discarded, so that new ones may be issued."""
         for slot_id in slot_ids:
-            self.slots.take_back(slot_id)
+            self.slots.withdraw(slot_id)
 
     def report(self) -> offers.ServiceReport:
         """Return all counters; the finished tickets are handed over once."""
@@ -353,7 +355,7 @@
 
     def note_hop_time(self, seconds: float) -> None:
         """Record a one-way time to the dispatcher in seconds."""
-        self.capacity.depth.note_hop_time(seconds)
+        self.capacity.staged_depth.note_hop_time(seconds)
 
     def note_waiting(self, count: int) -> None:
         """Record how many tickets wait at the dispatcher."""
@@ -364,9 +366,11 @@
     def note_state(self) -> None:
         """Bring the gauges up to date and log when admission opens."""
         self.metrics.running.set(len(self.running))
-        self.metrics.earlier.set(self.capacity.in_flight.earlier)
+        self.metrics.earlier.set(self.capacity.in_flight.earlier_calls)
         self.metrics.staged.set(len(self.staged))
         self.metrics.limit.set(self.capacity.limit.limit)
         if not self.opened and self.capacity.limit.is_open(time.monotonic()):
             self.opened = True
-            self.logger.log(events.Event.ADMISSION_OPENED, earlier=self.capacity.in_flight.earlier)
+            self.logger.log(
+                events.Event.ADMISSION_OPENED, earlier=self.capacity.in_flight.earlier_calls
+            )
--- a/src/masticward/coordination/run_execution.py
+++ b/src/masticward/coordination/run_execution.py
@@ -164,7 +164,7 @@
         now = time.monotonic()
         limit = self.runner.capacity.limit
         started_at = self.run.started_at or now
-        self.runner.capacity.depth.note_service_time(now - started_at)
+        self.runner.capacity.staged_depth.note_service_time(now - started_at)
         if self.head is not None and self.is_model and self.head.status in OVERLOAD_STATUSES:
             self.runner.go_cold(f"status {self.head.status}")
         elif self.is_evidence():
@@ -209,7 +209,7 @@
 
     def arm_first_token_timer(self) -> None:
         """Watch for a first token that does not come in time."""
-        bound = self.runner.capacity.limit.first_tokens.bound()
+        bound = self.runner.capacity.limit.first_tokens.threshold_seconds()
         if self.is_model and bound is not None:
             loop = asyncio.get_running_loop()
             self.first_token_timer = loop.call_later(bound, self.first_token_overdue, bound)
--- a/src/masticward/protocol/snapshots.py
+++ b/src/masticward/protocol/snapshots.py
@@ -214,10 +214,11 @@
         return ledger.Snapshot(
             system_virtual_time=self.system_virtual_time,
             teams=tuple(
-                ledger.TeamTime(team, *self.values[number]) for number, team in self.teams.items()
+                ledger.TeamVirtualTime(team, *self.values[number])
+                for number, team in self.teams.items()
             ),
             included=tuple(
-                ledger.CounterEntry(*key, self.teams[team], total)
+                ledger.IncludedCounter(*key, self.teams[team], total)
                 for number, key in self.agents.items()
                 for team, total in self.totals[number].items()
             ),
@@ -267,11 +268,11 @@
     return ledger.Snapshot(
         system_virtual_time=message.system_virtual_time,
         teams=tuple(
-            ledger.TeamTime(entry.team, entry.virtual_time, entry.mean_cost)
+            ledger.TeamVirtualTime(entry.team, entry.virtual_time, entry.mean_cost)
             for entry in message.teams
         ),
         included=tuple(
-            ledger.CounterEntry(agent.agent_id, agent.incarnation, names[index], total)
+            ledger.IncludedCounter(agent.agent_id, agent.incarnation, names[index], total)
             for agent in message.included_agents
             for index, total in zip(agent.team_indexes, agent.totals, strict=False)
         ),
--- a/src/masticward/state/admission.py
+++ b/src/masticward/state/admission.py
@@ -5,7 +5,7 @@
 from masticward.state import first_token
 
 FIRST_REPORT_WAIT_SECONDS = 3.0
-REPORT_MISSING_SECONDS = 3.0
+REPORT_TIMEOUT_SECONDS = 3.0
 
 
 class AdmissionState(enum.StrEnum):
@@ -31,7 +31,7 @@
         "last_report_at",
         "limit_hint",
         "raw_limit",
-        "report_settle_seconds",
+        "report_lag_seconds",
         "reported_cold",
         "started_at",
         "successes",
@@ -39,13 +39,13 @@
     )
 
     def __init__(
-        self, cold_limit: int, warm_limit: int, started_at: float, report_settle_seconds: float
+        self, cold_limit: int, warm_limit: int, started_at: float, report_lag_seconds: float
     ) -> None:
         self.warm_limit = max(1, warm_limit)
         self.cold_limit = min(max(1, cold_limit), self.warm_limit)
         self.started_at = started_at
         # A lagging report may not yet show calls that a previous agent started just before its end.
-        self.report_settle_seconds = report_settle_seconds
+        self.report_lag_seconds = report_lag_seconds
         self.raw_limit = self.cold_limit
         self.limit_hint = 0
         self.epoch = 0
@@ -77,7 +77,7 @@
         """Tell whether anything may be admitted: a load report came or the wait for it is over."""
         if now >= self.started_at + FIRST_REPORT_WAIT_SECONDS:
             return True
-        settled = now >= self.started_at + self.report_settle_seconds
+        settled = now >= self.started_at + self.report_lag_seconds
         return settled and self.last_report_at is not None
 
     def set_limits(self, cold_limit: int, warm_limit: int) -> None:
@@ -86,7 +86,7 @@
         self.cold_limit = min(max(1, cold_limit), self.warm_limit)
         self.raw_limit = min(max(self.raw_limit, self.cold_limit), self.warm_limit)
 
-    def go_cold(self) -> None:
+    def reset_to_cold(self) -> None:
         """Return to the cold limit at once."""
         self.raw_limit = self.cold_limit
         self.successes = 0
@@ -96,7 +96,7 @@
         self, cold: bool, incarnation: int, limit_hint: int, requested_at: float, now: float
     ) -> bool:
         """Take a load report into account; True if it led back to cold."""
-        self.first_tokens.judge(cold, requested_at - self.report_settle_seconds, now)
+        self.first_tokens.note_report(cold, requested_at - self.report_lag_seconds, now)
         restarted = self.endpoint_incarnation not in (None, incarnation)
         self.endpoint_incarnation = incarnation
         self.last_report_at = now
@@ -104,7 +104,7 @@
         became_cold = restarted or (cold and not self.reported_cold)
         self.reported_cold = cold
         if restarted or cold:
-            self.go_cold()
+            self.reset_to_cold()
         return became_cold
 
     def note_success(self, epoch: int, now: float) -> bool:
@@ -127,7 +127,7 @@
 
     def is_report_missing(self, now: float) -> bool:
         """Tell whether no load report has come for 3 s."""
-        return self.last_report_at is None or now - self.last_report_at >= REPORT_MISSING_SECONDS
+        return self.last_report_at is None or now - self.last_report_at >= REPORT_TIMEOUT_SECONDS
 
     def note_first_token(self, seconds: float, epoch: int, now: float) -> bool:
         """Take a first-token time into account; True if it led back to cold.
@@ -138,18 +138,18 @@
         """
         slow = self.first_tokens.is_slow(seconds)
         if slow:
-            self.first_tokens.suspect(seconds, now)
+            self.first_tokens.note_suspected_cold(seconds, now)
         if slow or not (self.reported_cold or self.is_report_missing(now)):
-            self.first_tokens.learn(seconds)
+            self.first_tokens.add_sample(seconds)
         if not slow or epoch != self.epoch:
             return False
-        self.go_cold()
+        self.reset_to_cold()
         return True
 
     def note_overdue_first_token(self, seconds: float, epoch: int, now: float) -> bool:
         """Take a first token that is still awaited into account; True if it led back to cold."""
-        self.first_tokens.suspect(seconds, now)
+        self.first_tokens.note_suspected_cold(seconds, now)
         if epoch != self.epoch:
             return False
-        self.go_cold()
+        self.reset_to_cold()
         return True
--- a/src/masticward/state/attempts.py
+++ b/src/masticward/state/attempts.py
@@ -3,7 +3,7 @@
 import heapq
 
 # A duplicate that was delayed on its way carries a remaining time from before the delay.
-MEMORY_AFTER_DEADLINE_SECONDS = 60.0
+RETENTION_AFTER_DEADLINE_SECONDS = 60.0
 
 
 class AttemptTable:
@@ -19,21 +19,21 @@
         self.accepted: dict[str, float] = {}
         self.expiries: list[tuple[float, str]] = []
 
-    def is_known(self, attempt_id: str) -> bool:
+    def is_accepted(self, attempt_id: str) -> bool:
         """Tell whether the id was accepted before and is still kept."""
         return attempt_id in self.accepted
 
     def accept(self, attempt_id: str, deadline: float, now: float) -> bool:
         """Accept an id; False if it was accepted before."""
-        self.forget(now)
+        self.drop_expired(now)
         if attempt_id in self.accepted:
             return False
-        expiry = max(deadline, now) + MEMORY_AFTER_DEADLINE_SECONDS
+        expiry = max(deadline, now) + RETENTION_AFTER_DEADLINE_SECONDS
         self.accepted[attempt_id] = expiry
         heapq.heappush(self.expiries, (expiry, attempt_id))
         return True
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop the ids whose time is over."""
         while self.expiries and self.expiries[0][0] <= now:
             del self.accepted[heapq.heappop(self.expiries)[1]]
--- a/src/masticward/state/capacity.py
+++ b/src/masticward/state/capacity.py
@@ -12,12 +12,12 @@
     not come in time, before it has got more calls than it bears while cold.
     """
 
-    __slots__ = ("awaiting_first_token", "depth", "in_flight", "limit")
+    __slots__ = ("awaiting_first_token", "in_flight", "limit", "staged_depth")
 
     def __init__(self, started_at: float, report_lag_seconds: float) -> None:
         self.limit = admission.AdmissionLimit(1, 1, started_at, report_lag_seconds)
         self.in_flight = in_flight.InFlightEstimate(report_lag_seconds, started_at)
-        self.depth = staged_depth.StagedDepth()
+        self.staged_depth = staged_depth.StagedDepth()
         self.awaiting_first_token = 0
 
     def may_start(self, kind: configuration_models.ServiceKind, now: float) -> bool:
@@ -28,17 +28,17 @@
             return self.awaiting_first_token < self.limit.cold_limit
         return True
 
-    def room(self, staged: int, now: float) -> int:
+    def available_calls(self, staged: int, now: float) -> int:
         """Return how many more calls may be running, staged or promised, not below 0."""
         if not self.limit.is_open(now):
             return 0
         limit = self.limit.limit
-        return max(0, limit + self.depth.depth(limit) - self.in_flight.total - staged)
+        return max(0, limit + self.staged_depth.slots_ahead(limit) - self.in_flight.total - staged)
 
-    def surplus(self, staged: int) -> int:
+    def excess_staged_calls(self, staged: int) -> int:
         """Return how many staged calls exceed the limit plus the staged depth, not below 0.
 
         Calls that run in excess of a limit that fell do not push out those that wait for a slot.
         """
         limit = self.limit.limit
-        return max(0, staged - limit - self.depth.depth(limit))
+        return max(0, staged - limit - self.staged_depth.slots_ahead(limit))
--- a/src/masticward/state/fair_queue.py
+++ b/src/masticward/state/fair_queue.py
@@ -12,8 +12,8 @@
 from masticward.state import ledger as ledger_module
 
 # Tickets with a lower rank are served first within their group.
-RETRIED_RANK = 0
-NEW_RANK = 1
+RETRIED_PRIORITY = 0
+NEW_PRIORITY = 1
 SINGLE_GROUP = ""
 
 
@@ -34,7 +34,7 @@
         return max(0.0, self.estimate - self.progress)
 
 
-class Taken(msgspec.Struct, frozen=True):
+class TakenTicket(msgspec.Struct, frozen=True):
     """A ticket chosen for dispatch, with its team's virtual time before the reservation."""
 
     ticket: work.Ticket
@@ -54,18 +54,18 @@
         """Return the present rank of a queue."""
 
     @abc.abstractmethod
-    def note_joined(self, group: str, least_rank: float | None) -> None:
+    def note_group_added(self, group: str, least_rank: float | None) -> None:
         """Note that an empty queue got a ticket; ``least_rank`` is that of the other queues."""
 
     @abc.abstractmethod
-    def note_served(self, group: str) -> None:
+    def note_group_served(self, group: str) -> None:
         """Note that a ticket of the queue was dispatched."""
 
 
 class FairSharePolicy(QueuePolicy):
     """Serves the team with the least virtual time."""
 
-    def __init__(self, ledger: ledger_module.VirtualTimes) -> None:
+    def __init__(self, ledger: ledger_module.VirtualTimeLedger) -> None:
         self.ledger = ledger
 
     def group_of(self, ticket: work.Ticket) -> str:
@@ -76,10 +76,10 @@
         """Return the team's virtual time with its reservations."""
         return self.ledger.effective_of(group)
 
-    def note_joined(self, group: str, least_rank: float | None) -> None:
+    def note_group_added(self, group: str, least_rank: float | None) -> None:
         """Do nothing: the ledger lifts teams."""
 
-    def note_served(self, group: str) -> None:
+    def note_group_served(self, group: str) -> None:
         """Do nothing: the ledger holds the reservation."""
 
 
@@ -94,10 +94,10 @@
         """Return 0, because there is one queue."""
         return 0.0
 
-    def note_joined(self, group: str, least_rank: float | None) -> None:
+    def note_group_added(self, group: str, least_rank: float | None) -> None:
         """Do nothing."""
 
-    def note_served(self, group: str) -> None:
+    def note_group_served(self, group: str) -> None:
         """Do nothing."""
 
 
@@ -118,16 +118,16 @@
         """Return the number of tickets served, lifted when the entry returned from idle."""
         return self.served.get(group, 0.0)
 
-    def note_joined(self, group: str, least_rank: float | None) -> None:
+    def note_group_added(self, group: str, least_rank: float | None) -> None:
         """Lift the entry, so that an idle time gives no credit."""
         self.served[group] = max(self.served.get(group, 0.0), least_rank or 0.0)
 
-    def note_served(self, group: str) -> None:
+    def note_group_served(self, group: str) -> None:
         """Count the ticket."""
         self.served[group] = self.served.get(group, 0.0) + 1.0
 
 
-class Group:
+class TicketGroup:
     """The waiting tickets of one queue and its key in the order of queues."""
 
     __slots__ = ("key", "tickets")
@@ -143,7 +143,7 @@
     __slots__ = ("group", "key", "ticket")
 
     def __init__(self, ticket: work.Ticket, group: str, sequence: int) -> None:
-        rank = RETRIED_RANK if ticket.retried else NEW_RANK
+        rank = RETRIED_PRIORITY if ticket.retried else NEW_PRIORITY
         self.ticket = ticket
         self.group = group
         self.key = (rank, ticket.arrived_at, sequence, ticket.id)
@@ -154,20 +154,20 @@
 
     __slots__ = (
         "deadlines",
+        "group_order",
         "groups",
         "ledger",
-        "order",
         "policy",
         "reservations",
         "sequence",
         "waiting",
     )
 
-    def __init__(self, policy: QueuePolicy, ledger: ledger_module.VirtualTimes) -> None:
+    def __init__(self, policy: QueuePolicy, ledger: ledger_module.VirtualTimeLedger) -> None:
         self.policy = policy
         self.ledger = ledger
-        self.groups: dict[str, Group] = {}
-        self.order: sortedcontainers.SortedList = sortedcontainers.SortedList()
+        self.groups: dict[str, TicketGroup] = {}
+        self.group_order: sortedcontainers.SortedList = sortedcontainers.SortedList()
         self.deadlines: sortedcontainers.SortedList = sortedcontainers.SortedList()
         self.waiting: dict[str, WaitingTicket] = {}
         self.reservations: dict[str, Reservation] = {}
@@ -183,11 +183,13 @@
             return False
         self.sequence += 1
         entry = WaitingTicket(ticket, self.policy.group_of(ticket), self.sequence)
-        self.ledger.queue(ticket.team)
+        self.ledger.add_waiting(ticket.team)
         group = self.groups.get(entry.group)
         if group is None:
-            self.policy.note_joined(entry.group, self.order[0][0] if self.order else None)
-            group = self.groups[entry.group] = Group()
+            self.policy.note_group_added(
+                entry.group, self.group_order[0][0] if self.group_order else None
+            )
+            group = self.groups[entry.group] = TicketGroup()
         group.tickets.add(entry.key)
         self.waiting[ticket.id] = entry
         self.deadlines.add((ticket.deadline, ticket.id))
@@ -199,27 +201,27 @@
         entry = self.waiting.get(ticket_id)
         if entry is None:
             return None
-        self.take_out(entry)
-        self.ledger.unqueue(entry.ticket.team)
+        self.remove_from_orders(entry)
+        self.ledger.remove_waiting(entry.ticket.team)
         return entry.ticket
 
-    def take(self, now: float) -> Taken | None:
+    def take(self, now: float) -> TakenTicket | None:
         """Take the next ticket and reserve its estimate; None if no ticket within time waits."""
         self.drop_expired(now)
-        if not self.order:
+        if not self.group_order:
             return None
-        group = self.groups[self.order[0][3]]
+        group = self.groups[self.group_order[0][3]]
         entry = self.waiting[group.tickets[0][3]]
         ticket = entry.ticket
         virtual_time = self.ledger.effective_of(ticket.team)
         estimate = self.ledger.estimate(ticket.team, ticket.cost_hint)
-        self.take_out(entry)
+        self.remove_from_orders(entry)
         self.reservations[ticket.id] = Reservation(ticket.team, estimate, ticket.cost_hint)
-        self.policy.note_served(entry.group)
+        self.policy.note_group_served(entry.group)
         self.ledger.reserve(ticket.team, estimate)
-        self.ledger.unqueue(ticket.team)
+        self.ledger.remove_waiting(ticket.team)
         self.reposition(entry.group)
-        return Taken(ticket, virtual_time, estimate)
+        return TakenTicket(ticket, virtual_time, estimate)
 
     def drop_expired(self, now: float) -> list[work.Ticket]:
         """Drop and return the tickets whose deadline has passed."""
@@ -230,7 +232,7 @@
                 dropped.append(ticket)
         return dropped
 
-    def report(
+    def apply_report(
         self,
         agent_id: str,
         incarnation: int,
@@ -240,7 +242,8 @@
     ) -> None:
         """Apply one report of an agent: charge counters, then adjust and end reservations."""
         touched = {
-            account.team: account for account in self.ledger.include(agent_id, incarnation, totals)
+            account.team: account
+            for account in self.ledger.charge_counters(agent_id, incarnation, totals)
         }
         for ticket_id, cost in progress.items():
             reservation = self.reservations.get(ticket_id)
@@ -252,9 +255,9 @@
         for account in touched.values():
             self.ledger.reposition(account)
         for ticket_id, cost in finished.items():
-            self.settle(ticket_id, cost)
+            self.end_reservation(ticket_id, cost)
 
-    def settle(self, ticket_id: str, cost: float = 0.0) -> bool:
+    def end_reservation(self, ticket_id: str, cost: float = 0.0) -> bool:
         """End a reservation; a cost above 0 counts in the team's means. False if there is none."""
         reservation = self.reservations.pop(ticket_id, None)
         if reservation is None:
@@ -264,7 +267,7 @@
         self.ledger.release(reservation.team, reservation.outstanding)
         return True
 
-    def take_out(self, entry: WaitingTicket) -> None:
+    def remove_from_orders(self, entry: WaitingTicket) -> None:
         """Remove a waiting ticket from every order."""
         del self.waiting[entry.ticket.id]
         self.deadlines.remove((entry.ticket.deadline, entry.ticket.id))
@@ -279,7 +282,7 @@
             return
         if not group.tickets:
             if group.key is not None:
-                self.order.remove(group.key)
+                self.group_order.remove(group.key)
             del self.groups[name]
             return
         _, arrived_at, sequence, _ = group.tickets[0]
@@ -287,13 +290,13 @@
         if key == group.key:
             return
         if group.key is not None:
-            self.order.remove(group.key)
+            self.group_order.remove(group.key)
         group.key = key
-        self.order.add(key)
+        self.group_order.add(key)
 
 
 def create_policy(
-    name: settings.QueuePolicyName, ledger: ledger_module.VirtualTimes
+    name: settings.QueuePolicyName, ledger: ledger_module.VirtualTimeLedger
 ) -> QueuePolicy:
     """Return the policy with this name."""
     if name is settings.QueuePolicyName.FAIR_SHARE:
--- a/src/masticward/state/first_token.py
+++ b/src/masticward/state/first_token.py
@@ -1,15 +1,15 @@
 """Judges first-token times: which are so slow that the engine must be taken for cold."""
 
-SLOW_FACTOR = 4.0
+THRESHOLD_FACTOR = 4.0
 # Scheduling pauses of a busy instance reach tens of milliseconds and are no sign of a cold engine.
-FLOOR_SECONDS = 0.1
-SAMPLES_NEEDED = 5
-MEAN_SMOOTHING = 0.05
+MINIMUM_THRESHOLD_SECONDS = 0.1
+MINIMUM_SAMPLES = 5
+SMOOTHING_FACTOR = 0.05
 TOLERANCE_FACTOR = 1.25
 # Halves what is tolerated in about 700 samples.
 TOLERANCE_DECAY = 0.999
 # Twice the usual load period and some delay.
-REPORT_GAP_SECONDS = 1.2
+MAXIMUM_REPORT_GAP_SECONDS = 1.2
 
 
 class FirstTokenTimes:
@@ -21,56 +21,58 @@
     """
 
     __slots__ = (
-        "clear_since",
         "last_report_at",
-        "mean",
+        "mean_seconds",
+        "not_cold_since",
         "samples",
         "suspected_at",
-        "suspected_from",
+        "suspected_call_start",
         "suspected_seconds",
-        "tolerated",
+        "tolerated_seconds",
     )
 
     def __init__(self) -> None:
-        self.mean = 0.0
+        self.mean_seconds = 0.0
         self.samples = 0
-        self.tolerated = 0.0
+        self.tolerated_seconds = 0.0
         self.suspected_at: float | None = None
-        self.suspected_from = 0.0
+        self.suspected_call_start = 0.0
         self.suspected_seconds = 0.0
-        self.clear_since: float | None = None
+        self.not_cold_since: float | None = None
         self.last_report_at = 0.0
 
-    def bound(self) -> float | None:
+    def threshold_seconds(self) -> float | None:
         """Return the time above which the endpoint counts as cold; None without a mean."""
-        if self.samples < SAMPLES_NEEDED:
+        if self.samples < MINIMUM_SAMPLES:
             return None
-        return max(SLOW_FACTOR * self.mean, FLOOR_SECONDS, self.tolerated)
+        return max(
+            THRESHOLD_FACTOR * self.mean_seconds, MINIMUM_THRESHOLD_SECONDS, self.tolerated_seconds
+        )
 
     def is_slow(self, seconds: float) -> bool:
         """Tell whether a first token came too slowly."""
-        bound = self.bound()
-        return bound is not None and seconds > bound
+        threshold = self.threshold_seconds()
+        return threshold is not None and seconds > threshold
 
-    def learn(self, seconds: float) -> None:
+    def add_sample(self, seconds: float) -> None:
         """Move the mean towards a sample, clipped to the bound; the first are averaged plainly."""
-        bound = self.bound()
-        sample = seconds if bound is None else min(seconds, bound)
+        threshold = self.threshold_seconds()
+        sample = seconds if threshold is None else min(seconds, threshold)
         self.samples += 1
-        weight = max(MEAN_SMOOTHING, 1.0 / self.samples)
-        self.mean += weight * (sample - self.mean)
-        self.tolerated *= TOLERANCE_DECAY
+        weight = max(SMOOTHING_FACTOR, 1.0 / self.samples)
+        self.mean_seconds += weight * (sample - self.mean_seconds)
+        self.tolerated_seconds *= TOLERANCE_DECAY
 
-    def suspect(self, seconds: float, now: float) -> None:
+    def note_suspected_cold(self, seconds: float, now: float) -> None:
         """Remember a time that led back to cold, until load reports clear it or confirm it."""
         if self.suspected_at is None:
             self.suspected_at = now
-            self.suspected_from = now
+            self.suspected_call_start = now
             self.suspected_seconds = 0.0
-        self.suspected_from = min(self.suspected_from, now - seconds)
+        self.suspected_call_start = min(self.suspected_call_start, now - seconds)
         self.suspected_seconds = max(self.suspected_seconds, seconds)
 
-    def judge(self, cold: bool, shows_after: float, now: float) -> None:
+    def note_report(self, cold: bool, shows_after: float, now: float) -> None:
         """Take in a load report that shows the endpoint as it was after ``shows_after``.
 
         A suspicion was a false alarm only if reports came without a gap and none was cold, from
@@ -78,14 +80,16 @@
         missing is no false alarm.
         """
         if cold:
-            self.clear_since = None
+            self.not_cold_since = None
             self.suspected_at = None
             return
-        if self.clear_since is None or now - self.last_report_at > REPORT_GAP_SECONDS:
-            self.clear_since = now
+        if self.not_cold_since is None or now - self.last_report_at > MAXIMUM_REPORT_GAP_SECONDS:
+            self.not_cold_since = now
         self.last_report_at = now
         if self.suspected_at is None or shows_after <= self.suspected_at:
             return
-        if self.clear_since < self.suspected_from:
-            self.tolerated = max(self.tolerated, TOLERANCE_FACTOR * self.suspected_seconds)
+        if self.not_cold_since < self.suspected_call_start:
+            self.tolerated_seconds = max(
+                self.tolerated_seconds, TOLERANCE_FACTOR * self.suspected_seconds
+            )
         self.suspected_at = None
--- a/src/masticward/state/in_flight.py
+++ b/src/masticward/state/in_flight.py
@@ -3,37 +3,37 @@
 import collections
 
 # An agent whose load varies quickly cannot tell earlier work from its own in a single report.
-EVIDENCE_PERIOD_SECONDS = 30.0
-DETACHED_WITHOUT_REPORT_SECONDS = 10.0
+REVIEW_PERIOD_SECONDS = 30.0
+DETACHED_CALL_TIMEOUT_SECONDS = 10.0
 
 
 class InFlightEstimate:
     """Estimates the calls in flight. Times are monotonic seconds.
 
-    ``earlier`` counts calls that the endpoint runs and this agent does not: those of a previous
-    agent, and those that were cancelled or broke off and whose end was not seen. A report that was
-    asked for at time t shows the endpoint at some time after t - ``lag_seconds``; whatever it shows
-    beyond the own count of that window is earlier work. Own calls that ended within the window are
-    therefore not counted a second time.
+    ``earlier_calls`` counts calls that the endpoint runs and this agent does not: those of a
+    previous agent, and those that were cancelled or disconnected without their end being seen. A
+    report requested at time t shows the endpoint at some time after t - ``lag_seconds``. Running
+    calls in excess of the own calls within that window are earlier calls, so an own call that ended
+    within the window is not counted twice.
     """
 
     __slots__ = (
         "detached_at",
-        "earlier",
-        "evidence",
-        "evidence_until",
+        "earlier_calls",
         "history",
         "lag_seconds",
         "last_report_at",
-        "own",
+        "own_calls",
+        "reported_earlier_calls",
+        "review_at",
     )
 
     def __init__(self, lag_seconds: float, now: float) -> None:
         self.lag_seconds = lag_seconds
-        self.own = 0
-        self.earlier = 0
-        self.evidence = 0
-        self.evidence_until = now + EVIDENCE_PERIOD_SECONDS
+        self.own_calls = 0
+        self.earlier_calls = 0
+        self.reported_earlier_calls = 0
+        self.review_at = now + REVIEW_PERIOD_SECONDS
         self.last_report_at = now
         self.history: collections.deque[tuple[float, int]] = collections.deque([(now, 0)])
         self.detached_at: collections.deque[float] = collections.deque()
@@ -41,56 +41,56 @@
     @property
     def total(self) -> int:
         """Own calls and earlier work together."""
-        return self.own + self.earlier
+        return self.own_calls + self.earlier_calls
 
     def start(self, now: float) -> None:
         """Count one more own call."""
-        self.own += 1
-        self.history.append((now, self.own))
-        self.trim(now - self.lag_seconds - EVIDENCE_PERIOD_SECONDS)
+        self.own_calls += 1
+        self.history.append((now, self.own_calls))
+        self.trim_history(now - self.lag_seconds - REVIEW_PERIOD_SECONDS)
 
     def end(self, now: float, confirmed: bool) -> None:
         """Count one own call less; it counts as earlier work if its end was not seen."""
-        self.own -= 1
-        self.history.append((now, self.own))
+        self.own_calls -= 1
+        self.history.append((now, self.own_calls))
         if not confirmed:
-            self.earlier += 1
+            self.earlier_calls += 1
             self.detached_at.append(now)
 
     def note_report(self, running: int, requested_at: float, now: float) -> None:
         """Take a report's running calls into account."""
         window_start = requested_at - self.lag_seconds
-        self.trim(window_start)
+        self.trim_history(window_start)
         own_counts = [own for _, own in self.history]
-        lower = max(0, running - max(own_counts))
-        upper = max(0, running - min(own_counts))
+        minimum = max(0, running - max(own_counts))
+        maximum = max(0, running - min(own_counts))
         while self.detached_at and self.detached_at[0] < window_start:
             self.detached_at.popleft()
         # A call that detached within the window may be missing from the report and still run.
         recent = len(self.detached_at)
-        self.earlier = min(max(self.earlier, lower), upper + recent)
+        self.earlier_calls = min(max(self.earlier_calls, minimum), maximum + recent)
         self.last_report_at = now
-        self.review_evidence(lower, recent, now)
+        self.drop_unreported_calls(minimum, recent, now)
 
-    def review_evidence(self, lower: int, recent: int, now: float) -> None:
+    def drop_unreported_calls(self, minimum: int, recent: int, now: float) -> None:
         """Forget earlier work of which no report of a whole period gave evidence."""
-        self.evidence = max(self.evidence, lower)
-        if now < self.evidence_until:
+        self.reported_earlier_calls = max(self.reported_earlier_calls, minimum)
+        if now < self.review_at:
             return
-        self.earlier = min(self.earlier, self.evidence + recent)
-        self.evidence = 0
-        self.evidence_until = now + EVIDENCE_PERIOD_SECONDS
+        self.earlier_calls = min(self.earlier_calls, self.reported_earlier_calls + recent)
+        self.reported_earlier_calls = 0
+        self.review_at = now + REVIEW_PERIOD_SECONDS
 
     def note_missing_report(self, now: float) -> None:
         """Forget detached calls after 10 s if no report can tell of them."""
-        limit = now - DETACHED_WITHOUT_REPORT_SECONDS
+        limit = now - DETACHED_CALL_TIMEOUT_SECONDS
         if self.last_report_at > limit:
             return
         while self.detached_at and self.detached_at[0] < limit:
             self.detached_at.popleft()
-            self.earlier = max(0, self.earlier - 1)
+            self.earlier_calls = max(0, self.earlier_calls - 1)
 
-    def trim(self, before: float) -> None:
+    def trim_history(self, before: float) -> None:
         """Drop the history before a time but keep the count that held at that time."""
         while len(self.history) > 1 and self.history[1][0] <= before:
             self.history.popleft()
--- a/src/masticward/state/ledger.py
+++ b/src/masticward/state/ledger.py
@@ -11,15 +11,15 @@
 
 UNKNOWN_TEAM_SHARE = 1.0
 # Weight of the newest finished request in a team's recent means; about the last 9 requests count.
-RECENT_WEIGHT = 0.2
+SMOOTHING_FACTOR = 0.2
 # A corrected hint counts up to this multiple of the corrected mean. With multiples of the plain
 # mean, right hints of teams that mix short and long requests were cut off too.
-HINT_LIMIT_MEANS = 3.0
+HINT_LIMIT_FACTOR = 3.0
 # Smaller relative changes of a virtual time are rounding errors and do not change the order.
 RELATIVE_TOLERANCE = 1e-12
 
 
-class Terms(msgspec.Struct, frozen=True, kw_only=True):
+class FairShareParameters(msgspec.Struct, frozen=True, kw_only=True):
     """What the configuration says about sharing one service. Costs are in cost units."""
 
     shares: dict[str, float]
@@ -31,7 +31,7 @@
         return self.shares.get(team, UNKNOWN_TEAM_SHARE)
 
 
-class TeamTime(msgspec.Struct, frozen=True):
+class TeamVirtualTime(msgspec.Struct, frozen=True):
     """The virtual time of one active team without its reservations, and its mean cost."""
 
     team: str
@@ -39,7 +39,7 @@
     mean_cost: float
 
 
-class CounterEntry(msgspec.Struct, frozen=True):
+class IncludedCounter(msgspec.Struct, frozen=True):
     """The total of one agent incarnation and team that a snapshot includes, in cost units."""
 
     agent_id: str
@@ -52,8 +52,8 @@
     """What a new dispatcher needs besides the agents' counters."""
 
     system_virtual_time: float
-    teams: tuple[TeamTime, ...]
-    included: tuple[CounterEntry, ...]
+    teams: tuple[TeamVirtualTime, ...]
+    included: tuple[IncludedCounter, ...]
     included_total: float
 
 
@@ -71,7 +71,7 @@
     """The virtual time of one team.
 
     ``charged`` is the virtual time without reservations, ``reserved`` the reserved cost units,
-    ``running`` and ``queued`` count tickets, ``position`` is the virtual time by which the queue
+    ``running`` and ``waiting`` count tickets, ``sort_time`` is the virtual time by which the queue
     orders the team, None while it has no waiting ticket. ``mean_cost`` and
     ``mean_square_cost`` are recent means over the finished requests; ``mean_hint`` and
     ``mean_hinted_cost`` are those of hint and true cost over the requests that had a hint.
@@ -87,12 +87,12 @@
         "mean_hint",
         "mean_hinted_cost",
         "mean_square_cost",
-        "position",
-        "queued",
         "reserved",
         "running",
         "share",
+        "sort_time",
         "team",
+        "waiting",
     )
 
     def __init__(self, team: str, share: float, charged: float) -> None:
@@ -101,17 +101,17 @@
         self.charged = charged
         self.reserved = 0.0
         self.running = 0
-        self.queued = 0
+        self.waiting = 0
         self.mean_cost = 0.0
         self.mean_square_cost = 0.0
         self.mean_hint = 0.0
         self.mean_hinted_cost = 0.0
         self.hint_error = 0.0
         self.mean_error = 0.0
-        self.position: float | None = None
+        self.sort_time: float | None = None
 
     @property
-    def corrected_mean(self) -> float:
+    def rms_cost(self) -> float:
         """The mean cost corrected for its spread: the root mean square, not below the mean."""
         return max(self.mean_cost, math.sqrt(self.mean_square_cost))
 
@@ -120,7 +120,7 @@
         """Whether hints count: without a mean cost, or if they foretell costs better than it."""
         return self.mean_cost == 0.0 or self.hint_error < self.mean_error
 
-    def correct(self, hint: float) -> float:
+    def correct_hint(self, hint: float) -> float:
         """Return a hint multiplied by the recent ratio of true cost to hint."""
         return hint * self.mean_hinted_cost / self.mean_hint if self.mean_hint else hint
 
@@ -130,7 +130,7 @@
         return self.charged + self.reserved / self.share
 
 
-class VirtualTimes:
+class VirtualTimeLedger:
     """The virtual times of all teams of one service.
 
     ``on_change(team)`` is called after the effective virtual time of a backlogged team changed.
@@ -139,17 +139,17 @@
     __slots__ = (
         "accounts",
         "active",
-        "candidate",
         "counters",
         "included_total",
         "on_change",
-        "restored",
+        "parameters",
+        "pending_snapshot",
+        "restored_teams",
         "system_time",
-        "terms",
     )
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
+    def __init__(self, parameters: FairShareParameters) -> None:
+        self.parameters = parameters
         self.accounts: dict[str, TeamAccount] = {}
         # Teams with waiting or running tickets.
         self.active: set[str] = set()
@@ -157,24 +157,24 @@
         self.system_time = 0.0
         self.counters: dict[str, AgentCounters] = {}
         self.included_total = 0.0
-        self.candidate: Snapshot | None = None
+        self.pending_snapshot: Snapshot | None = None
         # Teams of an adopted snapshot that have not been active here yet. They were active there,
         # so they are not lifted at first: their tickets arrive one after the other.
-        self.restored: set[str] = set()
+        self.restored_teams: set[str] = set()
         self.on_change: collections.abc.Callable[[str], None] = ignore_change
 
-    def set_terms(self, terms: Terms) -> None:
+    def set_parameters(self, parameters: FairShareParameters) -> None:
         """Use other shares and limits from now on; earlier charges stay as they are."""
-        self.terms = terms
+        self.parameters = parameters
         for account in self.accounts.values():
-            account.share = terms.share_of(account.team)
+            account.share = parameters.share_of(account.team)
             self.reposition(account)
 
     def account_of(self, team: str) -> TeamAccount:
         """Return the account of a team, opened at the system's virtual time if it is new."""
         account = self.accounts.get(team)
         if account is None:
-            account = TeamAccount(team, self.terms.share_of(team), self.system_time)
+            account = TeamAccount(team, self.parameters.share_of(team), self.system_time)
             self.accounts[team] = account
         return account
 
@@ -191,27 +191,27 @@
         account = self.account_of(team)
         expected = self.valid_hint(hint) if account.uses_hints else 0.0
         if account.mean_cost > 0.0:
-            limit = HINT_LIMIT_MEANS * account.corrected_mean
-            expected = max(account.mean_cost, min(account.correct(expected), limit))
-        return min(expected, self.terms.maximum_cost)
+            limit = HINT_LIMIT_FACTOR * account.rms_cost
+            expected = max(account.mean_cost, min(account.correct_hint(expected), limit))
+        return min(expected, self.parameters.maximum_cost)
 
     def valid_hint(self, hint: float) -> float:
         """Return a hint clamped to the costs that are possible; 0 if it is no finite number."""
-        return min(max(hint, 0.0), self.terms.maximum_cost) if math.isfinite(hint) else 0.0
+        return min(max(hint, 0.0), self.parameters.maximum_cost) if math.isfinite(hint) else 0.0
 
-    def queue(self, team: str) -> None:
+    def add_waiting(self, team: str) -> None:
         """Count one more waiting ticket of a team; one that had none joins the backlogged teams."""
         account = self.activate(team)
-        if account.queued == 0:
-            self.join(account)
-        account.queued += 1
+        if account.waiting == 0:
+            self.start_backlog(account)
+        account.waiting += 1
 
-    def unqueue(self, team: str) -> None:
+    def remove_waiting(self, team: str) -> None:
         """Count one waiting ticket less."""
         account = self.accounts[team]
-        account.queued -= 1
-        if account.queued == 0:
-            account.position = None
+        account.waiting -= 1
+        if account.waiting == 0:
+            account.sort_time = None
             self.deactivate_if_idle(account)
 
     def reserve(self, team: str, cost: float) -> None:
@@ -241,10 +241,10 @@
         account = self.account_of(team)
         hint = self.valid_hint(hint)
         if hint > 0.0 and account.mean_cost > 0.0:
-            hint_error = abs(cost - account.correct(hint))
+            hint_error = abs(cost - account.correct_hint(hint))
             mean_error = abs(cost - account.mean_cost)
-            account.hint_error += RECENT_WEIGHT * (hint_error - account.hint_error)
-            account.mean_error += RECENT_WEIGHT * (mean_error - account.mean_error)
+            account.hint_error += SMOOTHING_FACTOR * (hint_error - account.hint_error)
+            account.mean_error += SMOOTHING_FACTOR * (mean_error - account.mean_error)
         account.mean_cost = updated_mean(account.mean_cost, cost)
         account.mean_square_cost = updated_mean(account.mean_square_cost, cost * cost)
         if hint > 0.0:
@@ -253,50 +253,50 @@
 
     def activate(self, team: str) -> TeamAccount:
         """Count a team as active; the first one ends the passive state."""
-        if not self.active and self.candidate is not None:
-            self.adopt(self.candidate)
+        if not self.active and self.pending_snapshot is not None:
+            self.adopt(self.pending_snapshot)
         self.active.add(team)
         return self.account_of(team)
 
-    def join(self, account: TeamAccount) -> None:
+    def start_backlog(self, account: TeamAccount) -> None:
         """Lift a team that becomes backlogged to the system's virtual time and cap its debt.
 
         A team that only runs is lifted too when its queue is empty: otherwise one that always
         runs a little would collect credit, and pull down the time to which others are lifted.
         """
         system_time = self.system_time
-        if account.team not in self.restored:
+        if account.team not in self.restored_teams:
             lifted = system_time - account.reserved / account.share
             account.charged = max(account.charged, lifted)
-        self.restored.discard(account.team)
-        self.cap(account, system_time)
-        account.position = account.effective
+        self.restored_teams.discard(account.team)
+        self.cap_debt(account, system_time)
+        account.sort_time = account.effective
 
     def deactivate_if_idle(self, account: TeamAccount) -> None:
         """Take a team without waiting and running tickets out of the active teams."""
-        if not account.queued and not account.running:
+        if not account.waiting and not account.running:
             self.active.discard(account.team)
 
-    def cap(self, account: TeamAccount, system_time: float) -> None:
+    def cap_debt(self, account: TeamAccount, system_time: float) -> None:
         """Forgive the part of a team's debt that lies above the cap.
 
         Reservations are not capped: they end by themselves, and a cap on them would credit a team
         whose estimate was too high.
         """
-        limit = system_time + self.terms.debt_cap / account.share
+        limit = system_time + self.parameters.debt_cap / account.share
         account.charged = min(account.charged, limit)
 
     def reposition(self, account: TeamAccount) -> None:
         """Tell the queue that the virtual time of a backlogged team changed."""
-        if account.position is None:
+        if account.sort_time is None:
             return
         effective = account.effective
-        if abs(effective - account.position) <= RELATIVE_TOLERANCE * abs(effective):
+        if abs(effective - account.sort_time) <= RELATIVE_TOLERANCE * abs(effective):
             return
-        account.position = effective
+        account.sort_time = effective
         self.on_change(account.team)
 
-    def include(
+    def charge_counters(
         self, agent_id: str, incarnation: int, totals: collections.abc.Mapping[str, float]
     ) -> list[TeamAccount]:
         """Charge the increase of an agent's counters; the caller repositions what is returned.
@@ -325,7 +325,7 @@
         """Add service in cost units to a team's virtual time, up to the debt cap."""
         account = self.account_of(team)
         account.charged += cost / account.share
-        self.cap(account, system_time)
+        self.cap_debt(account, system_time)
         self.included_total += cost
         return account
 
@@ -333,11 +333,11 @@
         """Return the active teams and the counters included in their virtual times."""
         names = self.active
         teams = tuple(
-            TeamTime(name, self.accounts[name].charged, self.accounts[name].mean_cost)
+            TeamVirtualTime(name, self.accounts[name].charged, self.accounts[name].mean_cost)
             for name in sorted(names)
         )
         included = tuple(
-            CounterEntry(agent_id, counters.incarnation, team, counters.totals[team])
+            IncludedCounter(agent_id, counters.incarnation, team, counters.totals[team])
             for agent_id, counters in self.counters.items()
             for team in sorted(counters.totals.keys() & names)
         )
@@ -348,7 +348,7 @@
             included_total=self.included_total,
         )
 
-    def forget_agents(self, members: collections.abc.Set[str]) -> None:
+    def drop_departed_agents(self, members: collections.abc.Set[str]) -> None:
         """Forget the counters of agents that are no members and served no active team."""
         for agent_id in [known for known in self.counters if known not in members]:
             if self.active.isdisjoint(self.counters[agent_id].totals):
@@ -359,18 +359,22 @@
 
         It is adopted at once while teams are active, otherwise when the first becomes active.
         """
-        known = self.included_total if self.candidate is None else self.candidate.included_total
-        fresh = self.candidate is None and not self.accounts
+        known = (
+            self.included_total
+            if self.pending_snapshot is None
+            else self.pending_snapshot.included_total
+        )
+        fresh = self.pending_snapshot is None and not self.accounts
         if snapshot.included_total <= max(known, self.included_total) and not fresh:
             return False
-        self.candidate = snapshot
+        self.pending_snapshot = snapshot
         if self.active:
             self.adopt(snapshot)
         return True
 
     def adopt(self, snapshot: Snapshot) -> None:
         """Replace the virtual times by a snapshot and charge what counters grew since then."""
-        self.candidate = None
+        self.pending_snapshot = None
         times = {entry.team: entry for entry in snapshot.teams}
         for name, entry in times.items():
             account = self.account_of(name)
@@ -381,8 +385,8 @@
                 account.charged = snapshot.system_virtual_time
         self.system_time = snapshot.system_virtual_time
         self.included_total = snapshot.included_total
-        self.restored = {name for name in times if name not in self.active}
-        increases = self.merge_counters(snapshot.included, times.keys())
+        self.restored_teams = {name for name in times if name not in self.active}
+        increases = self.merge_snapshot_counters(snapshot.included, times.keys())
         for account in self.accounts.values():
             self.reposition(account)
         system_time = self.system_time
@@ -391,11 +395,11 @@
 
     def end_restoration(self) -> None:
         """Lift teams of the adopted snapshot like others when they become active from now on."""
-        self.restored.clear()
+        self.restored_teams.clear()
 
-    def merge_counters(
+    def merge_snapshot_counters(
         self,
-        included: collections.abc.Iterable[CounterEntry],
+        included: collections.abc.Iterable[IncludedCounter],
         teams: collections.abc.Set[str],
     ) -> dict[str, float]:
         """Return by team what the recorded counters exceed the included ones, and record both.
@@ -422,10 +426,10 @@
                 if increase > 0.0:
                     increases[team] = increases.get(team, 0.0) + increase
         for agent_id, base in snapshot_counters.items():
-            self.record_base(agent_id, base)
+            self.record_snapshot_counters(agent_id, base)
         return increases
 
-    def record_base(self, agent_id: str, base: AgentCounters) -> None:
+    def record_snapshot_counters(self, agent_id: str, base: AgentCounters) -> None:
         """Record the counters of a snapshot, so that later reports are compared with them."""
         known = self.counters.get(agent_id)
         if known is None or known.incarnation < base.incarnation:
@@ -437,7 +441,7 @@
 
 def updated_mean(mean: float, sample: float) -> float:
     """Return a recent mean after one more sample; a mean of 0 stands for none."""
-    return mean + RECENT_WEIGHT * (sample - mean) if mean else sample
+    return mean + SMOOTHING_FACTOR * (sample - mean) if mean else sample
 
 
 def ignore_change(team: str) -> None:
--- a/src/masticward/state/slots.py
+++ b/src/masticward/state/slots.py
@@ -4,7 +4,7 @@
 
 SLOT_LIFETIME_SECONDS = 2.0
 # An expired slot is remembered this long, to tell a late attempt from one with a foreign slot.
-EXPIRED_MEMORY_SECONDS = 2.0
+EXPIRED_RETENTION_SECONDS = 2.0
 
 
 class SlotTable:
@@ -19,7 +19,7 @@
 
     def issue(self, count: int, now: float) -> tuple[tuple[int, ...], float]:
         """Return ``count`` new slot ids and their common deadline."""
-        self.forget_expired(now)
+        self.drop_expired(now)
         deadline = now + SLOT_LIFETIME_SECONDS
         slot_ids = tuple(range(self.next_id, self.next_id + max(0, count)))
         self.next_id += len(slot_ids)
@@ -36,7 +36,7 @@
             return work.RefusalReason.SLOT_EXPIRED
         return None
 
-    def take(self, slot_id: int, now: float) -> work.RefusalReason | None:
+    def use(self, slot_id: int, now: float) -> work.RefusalReason | None:
         """Use a slot up; the reason why it cannot be used, else None."""
         refusal = self.check(slot_id, now)
         if refusal is None:
@@ -49,18 +49,18 @@
             return None
         return now - (self.deadlines[slot_id] - SLOT_LIFETIME_SECONDS)
 
-    def take_back(self, slot_id: int) -> None:
+    def withdraw(self, slot_id: int) -> None:
         """Withdraw a slot that its dispatcher has discarded; it cannot be used any more."""
         self.deadlines.pop(slot_id, None)
 
-    def issued(self, now: float) -> int:
+    def count_valid(self, now: float) -> int:
         """Count the slots that are neither used nor expired."""
-        self.forget_expired(now)
+        self.drop_expired(now)
         return sum(1 for deadline in self.deadlines.values() if deadline > now)
 
-    def forget_expired(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop slots whose deadline is longer past than they need to be remembered."""
         for slot_id, deadline in list(self.deadlines.items()):
-            if deadline + EXPIRED_MEMORY_SECONDS > now:
+            if deadline + EXPIRED_RETENTION_SECONDS > now:
                 return
             del self.deadlines[slot_id]
--- a/src/masticward/state/staged_depth.py
+++ b/src/masticward/state/staged_depth.py
@@ -2,12 +2,12 @@
 
 import math
 
-HOPS_AHEAD = 3.0
-MAXIMUM_LIMITS_AHEAD = 4
-LONGEST_SHORT_CALL_SECONDS = 0.25
-SMOOTHING = 0.1
+HOPS_PER_TURNAROUND = 3.0
+MAXIMUM_SLOTS_AHEAD_PER_CALL = 4
+MAXIMUM_SHORT_CALL_SECONDS = 0.25
+SMOOTHING_FACTOR = 0.1
 # Slots that return later than the mean by this many mean deviations still find the endpoint busy.
-DEVIATIONS_AHEAD = 4.0
+TURNAROUND_DEVIATIONS = 4.0
 
 
 class StagedDepth:
@@ -28,32 +28,34 @@
 
     def note_hop_time(self, seconds: float) -> None:
         """Record a one-way time to the dispatcher."""
-        self.hop_seconds = smooth(self.hop_seconds, seconds)
+        self.hop_seconds = smoothed_mean(self.hop_seconds, seconds)
 
     def note_turnaround(self, seconds: float) -> None:
         """Record the time that a slot took to come back as an attempt while work waited."""
         if self.turnaround_seconds is not None:
             deviation = abs(seconds - self.turnaround_seconds)
-            self.deviation_seconds = smooth(self.deviation_seconds, deviation)
-        self.turnaround_seconds = smooth(self.turnaround_seconds, seconds)
+            self.deviation_seconds = smoothed_mean(self.deviation_seconds, deviation)
+        self.turnaround_seconds = smoothed_mean(self.turnaround_seconds, seconds)
 
     def note_service_time(self, seconds: float) -> None:
         """Record the time that one call spent at the endpoint."""
-        self.service_seconds = smooth(self.service_seconds, seconds)
+        self.service_seconds = smoothed_mean(self.service_seconds, seconds)
 
-    def depth(self, limit: int) -> int:
+    def slots_ahead(self, limit: int) -> int:
         """Return the slots to offer ahead; 0 while a time is unknown or calls are long."""
         if not self.hop_seconds or not self.service_seconds:
             return 0
-        if self.service_seconds > LONGEST_SHORT_CALL_SECONDS:
+        if self.service_seconds > MAXIMUM_SHORT_CALL_SECONDS:
             return 0
-        turnaround = (self.turnaround_seconds or 0.0) + DEVIATIONS_AHEAD * self.deviation_seconds
+        turnaround = (
+            self.turnaround_seconds or 0.0
+        ) + TURNAROUND_DEVIATIONS * self.deviation_seconds
         # Without this limit more slots ahead lengthened their own turnaround, up to the maximum.
-        away = max(HOPS_AHEAD * self.hop_seconds, min(turnaround, self.service_seconds))
+        away = max(HOPS_PER_TURNAROUND * self.hop_seconds, min(turnaround, self.service_seconds))
         ahead = math.ceil(limit * (away / self.service_seconds))
-        return min(ahead, MAXIMUM_LIMITS_AHEAD * limit)
+        return min(ahead, MAXIMUM_SLOTS_AHEAD_PER_CALL * limit)
 
 
-def smooth(mean: float | None, sample: float) -> float:
+def smoothed_mean(mean: float | None, sample: float) -> float:
     """Return the exponentially smoothed mean after one more sample."""
-    return sample if mean is None else mean + SMOOTHING * (sample - mean)
+    return sample if mean is None else mean + SMOOTHING_FACTOR * (sample - mean)
--- a/tests/functional/test_agent_refusals.py
+++ b/tests/functional/test_agent_refusals.py
@@ -157,7 +157,7 @@
         self.harness = await agent_harness.open_harness(self, "plain", (1, 1), service_ms=300)
         # Load reports would look at the waiting calls, too.
         self.runner = await self.harness.start_agent(period=60.0)
-        self.runner.capacity.depth.note_service_time(0.1)
+        self.runner.capacity.staged_depth.note_service_time(0.1)
         self.runner.note_hop_time(0.2)
         self.running = self.harness.spawn(self.harness.attempt())
         await agent_harness.until(lambda: self.harness.server.recorder.running == 1)
--- a/tests/functional/test_attempt_server.py
+++ b/tests/functional/test_attempt_server.py
@@ -104,7 +104,7 @@
         await stream.aclose()
         await asyncio.sleep(0.05)
         capacity = self.runner.capacity
-        self.assertEqual((0, 0), (capacity.in_flight.own, capacity.awaiting_first_token))
+        self.assertEqual((0, 0), (capacity.in_flight.own_calls, capacity.awaiting_first_token))
         self.assertEqual(0, len(self.recorder.records))
 
     async def test_entry_that_does_not_read_loses_the_stream_at_its_deadline(self) -> None:
@@ -157,4 +157,4 @@
         self.assertNotIn("end", kinds)
         arrived = len(self.recorder.records) - before
         self.assertEqual(int(point is not endpoint_server.DropPoint.BEFORE_WORK), arrived)
-        await agent_harness.until(lambda: self.runner.capacity.in_flight.earlier < 2)
+        await agent_harness.until(lambda: self.runner.capacity.in_flight.earlier_calls < 2)
--- a/tests/functional/test_cold_start.py
+++ b/tests/functional/test_cold_start.py
@@ -117,7 +117,7 @@
         run = self.harness.endpoint.run
 
         def turn_cold_and_run(request: typing.Any) -> typing.Any:
-            limit.go_cold()
+            limit.reset_to_cold()
             return run(request)
 
         self.harness.endpoint.run = turn_cold_and_run
@@ -133,7 +133,7 @@
         await agent_harness.until(lambda: self.limit_and_state() == (WARM_LIMIT, "warm"))
         for _ in range(30):
             await asyncio.sleep(0.05)
-            self.assertEqual(0, runner.capacity.in_flight.earlier)
+            self.assertEqual(0, runner.capacity.in_flight.earlier_calls)
 
     async def test_errors_are_no_evidence_of_a_warm_engine(self) -> None:
         await self.open("language-model")
--- a/tests/functional/test_dispatch_sessions.py
+++ b/tests/functional/test_dispatch_sessions.py
@@ -194,7 +194,9 @@
         await self.start_entry()
         first, second, _ = self.ranked()
         self.submit(*(f"t{number}" for number in range(400)))
-        await dispatch_fleet.wait_until(lambda: second.dispatcher.ledger.candidate is not None)
+        await dispatch_fleet.wait_until(
+            lambda: second.dispatcher.ledger.pending_snapshot is not None
+        )
         await first.stop()
         await dispatch_fleet.wait_until(lambda: second.dispatcher.turn > 0)
         await self.assert_started_once(400)
--- a/tests/lib/shared_pool.py
+++ b/tests/lib/shared_pool.py
@@ -43,8 +43,8 @@
         self.teams = {team.name: team for team in teams}
         self.slots = slots
         self.largest = max(cost for team in teams for cost in team.costs)
-        self.times = ledger.VirtualTimes(
-            ledger.Terms(
+        self.times = ledger.VirtualTimeLedger(
+            ledger.FairShareParameters(
                 shares={team.name: team.share for team in teams},
                 maximum_cost=maximum_cost or self.largest,
                 debt_cap=slots * self.largest if debt_cap is None else debt_cap,
@@ -99,7 +99,7 @@
                 finished[ticket_id] = cost + 1.0
         progress = {key: cost for key, (_, cost) in self.running.items()}
         totals = {team: float(count) for team, count in self.served.items()}
-        self.queue.report(AGENT, 1, totals, progress, finished)
+        self.queue.apply_report(AGENT, 1, totals, progress, finished)
         for ticket_id in finished:
             del self.running[ticket_id]
         self.history.append(totals)
--- a/tests/unit/test_agent_state.py
+++ b/tests/unit/test_agent_state.py
@@ -54,7 +54,7 @@
 
     @rule(slot_id=st.integers(0, 30))
     def take(self, slot_id: int) -> None:
-        refusal = self.table.take(slot_id, self.now)
+        refusal = self.table.use(slot_id, self.now)
         left = self.deadlines.get(slot_id, 0.0) - self.now
         if slot_id not in self.used and left > 0:
             assert refusal is None
@@ -67,7 +67,7 @@
     @invariant()
     def counts_what_can_be_used(self) -> None:
         valid = {slot for slot, deadline in self.deadlines.items() if deadline > self.now}
-        assert self.table.issued(self.now) == len(valid - self.used)
+        assert self.table.count_valid(self.now) == len(valid - self.used)
         kept = [slot for slot, deadline in self.deadlines.items() if deadline + 2.0 > self.now]
         assert len(self.table.deadlines) <= len(kept)
 
@@ -87,11 +87,11 @@
         assert accepted == (self.deadlines.get(attempt_id, 0.0) + 60.0 <= self.now)
         if accepted:
             self.deadlines[attempt_id] = max(self.now, self.now + seconds)
-        assert self.table.is_known(attempt_id)
+        assert self.table.is_accepted(attempt_id)
 
     @rule()
     def forget(self) -> None:
-        self.table.forget(self.now)
+        self.table.drop_expired(self.now)
         kept = {name for name, deadline in self.deadlines.items() if deadline + 60.0 > self.now}
         assert set(self.table.accepted) == kept
         assert len(self.table.expiries) == len(kept)
@@ -137,7 +137,7 @@
     @rule()
     def overload(self) -> None:
         epoch = self.limit.epoch
-        self.limit.go_cold()
+        self.limit.reset_to_cold()
         assert self.limit.epoch > epoch
         self.fall_back()
 
@@ -204,7 +204,7 @@
     def never_below_the_truth(self) -> None:
         self.past.append((self.now, self.own + self.earlier))
         # Earlier work without evidence may be forgotten, but only after a whole period.
-        if self.now < 100.0 + in_flight.EVIDENCE_PERIOD_SECONDS:
+        if self.now < 100.0 + in_flight.REVIEW_PERIOD_SECONDS:
             assert self.estimate.total >= self.own + self.earlier
 
 
@@ -247,11 +247,11 @@
             ([(0.5, False), (1.0, True), (1.5, False), (2.5, False)], 0.0),
         ):
             times = first_token.FirstTokenTimes()
-            times.judge(False, -1.0, 0.0)
-            times.suspect(0.9, 1.2)
+            times.note_report(False, -1.0, 0.0)
+            times.note_suspected_cold(0.9, 1.2)
             for requested_at, cold in reports:
-                times.judge(cold, requested_at - 1.0, requested_at)
-            self.assertEqual(tolerated, times.tolerated)
+                times.note_report(cold, requested_at - 1.0, requested_at)
+            self.assertEqual(tolerated, times.tolerated_seconds)
 
 
 class SmallTablesTest(unittest.TestCase):
@@ -262,9 +262,9 @@
             estimate.start(now)
             estimate.end(now + 0.1, confirmed=number > 0)
             estimate.note_report(1, now + 0.2, now + 0.2)
-        self.assertEqual(0, estimate.earlier)
+        self.assertEqual(0, estimate.earlier_calls)
         estimate.start(101.0)
         estimate.end(102.0, confirmed=False)
         for now, earlier in ((111.0, 1), (112.1, 0)):
             estimate.note_missing_report(now)
-            self.assertEqual(earlier, estimate.earlier)
+            self.assertEqual(earlier, estimate.earlier_calls)
--- a/tests/unit/test_fair_queue_model.py
+++ b/tests/unit/test_fair_queue_model.py
@@ -44,8 +44,10 @@
         self.tickets: dict[str, object] = {}
 
     def new_queue(self) -> fair_queue.FairQueue:
-        terms = ledger.Terms(shares=SHARES, maximum_cost=MAXIMUM_COST, debt_cap=DEBT_CAP)
-        times = ledger.VirtualTimes(terms)
+        terms = ledger.FairShareParameters(
+            shares=SHARES, maximum_cost=MAXIMUM_COST, debt_cap=DEBT_CAP
+        )
+        times = ledger.VirtualTimeLedger(terms)
         return fair_queue.FairQueue(fair_queue.FairSharePolicy(times), times)
 
     def enqueue(self, team: str, hint: float, retried: bool, lifetime: float) -> None:
@@ -133,7 +135,7 @@
         finished = progress if ends else {}
         incarnation, totals = self.agents[agent]
         arguments = (agent, incarnation, dict(totals), progress, finished)
-        self.queue.report(*arguments)
+        self.queue.apply_report(*arguments)
         self.oracle.append("report", *arguments)
         for ticket_id in finished:
             del self.running[ticket_id]
@@ -162,15 +164,17 @@
         known = self.queue.ledger.counters.get(agent)
         if known is not None and known.incarnation == incarnation:
             lower = {team: known.totals.get(team, 0.0) / 2 for team in totals}
-            self.queue.report(agent, incarnation, lower, {}, {})
-            self.queue.report(agent, incarnation - 1, dict.fromkeys(TEAMS, 1000000000.0), {}, {})
+            self.queue.apply_report(agent, incarnation, lower, {}, {})
+            self.queue.apply_report(
+                agent, incarnation - 1, dict.fromkeys(TEAMS, 1000000000.0), {}, {}
+            )
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(index=INDEXES)
     def end_unused(self, index: int) -> None:
         ticket_id = pick(self.running, index)
         del self.running[ticket_id]
-        assert self.queue.settle(ticket_id)
+        assert self.queue.end_reservation(ticket_id)
         self.oracle.append("settle", ticket_id, 0.0)
 
     @stateful.rule(agent=strategies.sampled_from(AGENTS))
@@ -180,7 +184,7 @@
         self.agents[agent] = (incarnation + 1, {})
         for ticket_id in [key for key, item in self.running.items() if item[0] == agent]:
             del self.running[ticket_id]
-            self.queue.settle(ticket_id)
+            self.queue.end_reservation(ticket_id)
             self.oracle.append("settle", ticket_id, 0.0)
 
     @stateful.precondition(lambda self: self.queue.ledger.active)
@@ -201,7 +205,7 @@
         if not report_first:
             self.queue.ledger.offer_snapshot(snapshot)
         for agent, (incarnation, totals) in self.agents.items():
-            self.queue.report(agent, incarnation, dict(totals), {}, {})
+            self.queue.apply_report(agent, incarnation, dict(totals), {}, {})
         self.queue.ledger.offer_snapshot(snapshot)
         if older and snapshot.included_total > 0.0:
             fewer = ledger.Snapshot(
--- a/tests/unit/test_fairness_bounds.py
+++ b/tests/unit/test_fairness_bounds.py
@@ -105,8 +105,8 @@
 class HintTest(unittest.TestCase):
     def reserved(self, costs: list[float], factor: float, hint: float) -> float:
         """Return the estimate for a hint after requests with these costs have finished."""
-        terms = ledger.Terms(shares={}, maximum_cost=1000.0, debt_cap=1000.0)
-        times = ledger.VirtualTimes(terms)
+        terms = ledger.FairShareParameters(shares={}, maximum_cost=1000.0, debt_cap=1000.0)
+        times = ledger.VirtualTimeLedger(terms)
         for cost in costs:
             times.observe_cost("team", cost, cost * factor)
         return times.estimate("team", hint)
@@ -129,7 +129,9 @@
 
     def test_hints_worse_than_the_mean_do_not_count(self) -> None:
         """Fails if random hints order teams whose mean cost foretells their requests better."""
-        times = ledger.VirtualTimes(ledger.Terms(shares={}, maximum_cost=1000.0, debt_cap=1000.0))
+        times = ledger.VirtualTimeLedger(
+            ledger.FairShareParameters(shares={}, maximum_cost=1000.0, debt_cap=1000.0)
+        )
         for number in range(30):
             times.observe_cost("team", 9.0 + number % 3, 10.0 * (0.1, 1.0, 10.0)[number % 3])
         self.assertAlmostEqual(times.estimate("team", 100.0), 10.0, delta=1.0)
@@ -167,7 +169,7 @@
         teams = [shared_pool.Team(name) for name in ("debtor", "other")]
         pool = shared_pool.SharedPool(teams, slots=4, debt_cap=200.0)
         pool.run(100)
-        pool.queue.report("agent-2", 1, {"debtor": 1_000_000.0}, {}, {})
+        pool.queue.apply_report("agent-2", 1, {"debtor": 1_000_000.0}, {}, {})
         served, starts = pool.served["other"], pool.starts["debtor"]
         bound = 200.0 + 2 * pool.slots * pool.largest
         while pool.starts["debtor"] == starts and pool.served["other"] - served <= 2 * bound:
--- a/tests/unit/test_snapshots.py
+++ b/tests/unit/test_snapshots.py
@@ -38,11 +38,11 @@
     return ledger.Snapshot(
         system_virtual_time=float(serial),
         teams=tuple(
-            ledger.TeamTime(team, float(chance.randint(0, 3)), float(chance.randint(0, 2)))
+            ledger.TeamVirtualTime(team, float(chance.randint(0, 3)), float(chance.randint(0, 2)))
             for team in teams
         ),
         included=tuple(
-            ledger.CounterEntry(agent_id, incarnation, team, float(chance.randint(1, 3)))
+            ledger.IncludedCounter(agent_id, incarnation, team, float(chance.randint(1, 3)))
             for agent_id, incarnation in agents
             for team in teams
             if chance.random() < 0.6
@@ -110,9 +110,9 @@
             writer.add(
                 ledger.Snapshot(
                     system_virtual_time=float(serial),
-                    teams=tuple(ledger.TeamTime(f"team-{n}", 1.0, 2.0) for n in range(50)),
+                    teams=tuple(ledger.TeamVirtualTime(f"team-{n}", 1.0, 2.0) for n in range(50)),
                     included=tuple(
-                        ledger.CounterEntry("agent-1", 1, f"team-{n}", 3.0) for n in range(50)
+                        ledger.IncludedCounter("agent-1", 1, f"team-{n}", 3.0) for n in range(50)
                     ),
                     included_total=float(serial),
                 )
@@ -164,11 +164,11 @@
 
 class SnapshotTest(unittest.IsolatedAsyncioTestCase):
     def test_survives_the_wire(self) -> None:
-        teams = tuple(ledger.TeamTime(f"team-{n}", 1.5 * n, 2.0 + n) for n in range(3))
+        teams = tuple(ledger.TeamVirtualTime(f"team-{n}", 1.5 * n, 2.0 + n) for n in range(3))
         included = (
-            ledger.CounterEntry("agent-1", 2**60 + 1, "team-2", 7.25),
-            ledger.CounterEntry("agent-1", 2**60 + 1, "team-0", 1e12),
-            ledger.CounterEntry("agent-2", 5, "team-1", 3.0),
+            ledger.IncludedCounter("agent-1", 2**60 + 1, "team-2", 7.25),
+            ledger.IncludedCounter("agent-1", 2**60 + 1, "team-0", 1e12),
+            ledger.IncludedCounter("agent-2", 5, "team-1", 3.0),
         )
         snapshot = ledger.Snapshot(
             system_virtual_time=1.25, teams=teams, included=included, included_total=99.5
--- a/tests/unit/test_staged_depth.py
+++ b/tests/unit/test_staged_depth.py
@@ -18,7 +18,7 @@
         depth.note_service_time(service)
         for seconds in turnarounds:
             depth.note_turnaround(seconds)
-        return depth.depth(LIMIT)
+        return depth.slots_ahead(LIMIT)
 
     def test_hop_time_alone_covers_three_hops(self) -> None:
         self.assertEqual(1, self.depth())
@@ -45,15 +45,15 @@
         now = time.monotonic()
         held = capacity.EndpointCapacity(now - 60.0, 1.0)
         held.limit.set_limits(LIMIT, LIMIT)
-        held.depth.note_hop_time(0.001)
-        held.depth.note_service_time(0.05)
+        held.staged_depth.note_hop_time(0.001)
+        held.staged_depth.note_service_time(0.05)
         for _ in range(50):
-            held.depth.note_turnaround(1.0)
+            held.staged_depth.note_turnaround(1.0)
         for _ in range(LIMIT):
             self.assertTrue(held.may_start(mock.sentinel.plain, now))
             held.in_flight.start(now)
         self.assertFalse(held.may_start(mock.sentinel.plain, now))
-        self.assertEqual(LIMIT, held.room(0, now))
+        self.assertEqual(LIMIT, held.available_calls(0, now))
 
 
 class TurnaroundTest(unittest.IsolatedAsyncioTestCase):
@@ -75,7 +75,7 @@
         runner.checks = mock.Mock()
         runner.checks.check_addressee.return_value = None
         runner.admit(mock.Mock(slot_id=slot_id, attempt_id="a1", ticket_id="t1"))
-        return runner.capacity.depth.turnaround_seconds
+        return runner.capacity.staged_depth.turnaround_seconds
 
     async def test_pong_tells_whether_work_waits(self) -> None:
         """Fails if an agent never learns that its slots are measured under a backlog."""
