--- a/src/masticward/bench/queue_costs.py
+++ b/src/masticward/bench/queue_costs.py
@@ -54,11 +54,11 @@
         """Return the agents."""
         return self.agents
 
-    def agents_of(self, service: str) -> list[membership.Instance]:
+    def available_agents(self, service: str) -> list[membership.Instance]:
         """Return the agents."""
         return self.agents
 
-    def is_out(self, instance_id: str, availability_zone: str) -> bool:
+    def is_out_of_service(self, instance_id: str, availability_zone: str) -> bool:
         """Return that nothing is out of service."""
         return False
 
@@ -77,7 +77,7 @@
     def suspect(self, instance_id: str) -> None:
         """Do nothing."""
 
-    def note_versions(
+    def pull_newer_versions(
         self, config_version: int, operations_version: int, peer_address: str
     ) -> None:
         """Do nothing."""
--- a/src/masticward/coordination/admission_checks.py
+++ b/src/masticward/coordination/admission_checks.py
@@ -73,7 +73,7 @@
         """Check everything that is checked when an attempt arrives; pull newer versions."""
         self.pull_newer(request)
         return (
-            self.check_addressee(request)
+            self.check_target(request)
             or self.on_start(request.call.deadline)
             or self.check_definition(request)
         )
@@ -95,14 +95,14 @@
     def check_out_of_service(self) -> Reason | None:
         """Check whether operators took this agent out or it is about to stop."""
         zone = self.instance.availability_zone
-        if self.view.is_out(self.instance.id, zone):
+        if self.view.is_out_of_service(self.instance.id, zone):
             zone_out = zone in self.view.operations.zones_out
             return Reason.ZONE_OUT if zone_out else Reason.INSTANCE_OUT
         if self.is_endpoint_leaving() or self.view.is_leaving(self.instance.id):
             return Reason.LEAVING
         return None
 
-    def check_addressee(self, request: attempts.AttemptRequest) -> Reason | None:
+    def check_target(self, request: attempts.AttemptRequest) -> Reason | None:
         """Check whether the attempt is meant for this incarnation and service."""
         same = (request.agent_id, request.agent_incarnation, request.call.service) == (
             self.instance.id,
@@ -118,7 +118,7 @@
             or request.operations_version > self.view.operations.version
         )
         if newer:
-            self.view.note_versions(
+            self.view.pull_newer_versions(
                 request.config_version, request.operations_version, request.entry_peer_address
             )
 
--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -278,7 +278,7 @@
 
     def candidates(self) -> frozenset[str]:
         """Return the first three candidates: this dispatcher and the two that follow it."""
-        ranked = rendezvous.rank(self.service, self.view.agents_of(self.service))
+        ranked = rendezvous.rank(self.service, self.view.available_agents(self.service))
         return frozenset(agent.id for agent in ranked[:CANDIDATE_COUNT])
 
     # Matching
@@ -372,7 +372,7 @@
         peer = agent.peer
         return (
             peer.agent_id in self.eligible
-            and not self.view.is_out(peer.agent_id, peer.availability_zone)
+            and not self.view.is_out_of_service(peer.agent_id, peer.availability_zone)
             and not self.view.is_leaving(peer.agent_id)
         )
 
@@ -420,7 +420,7 @@
 
     def refresh_eligible(self) -> None:
         """Read from the view which agents may receive work."""
-        eligible = frozenset(agent.id for agent in self.view.agents_of(self.service))
+        eligible = frozenset(agent.id for agent in self.view.available_agents(self.service))
         if eligible != self.eligible:
             self.eligible = eligible
         for agent in self.agents.values():
--- a/src/masticward/coordination/endpoint_runner.py
+++ b/src/masticward/coordination/endpoint_runner.py
@@ -31,7 +31,7 @@
 Reason = work.RefusalReason
 
 
-class EndpointRunner(offers.OfferSource, attempt_server.AttemptRunner):
+class EndpointRunner(offers.SlotSource, attempt_server.AttemptRunner):
     """Runs attempts at one endpoint. ``start`` must be called before the first attempt."""
 
     def __init__(
@@ -79,9 +79,9 @@
 
     def start(self) -> None:
         """Begin to read load reports and to follow the view."""
-        self.view.subscribe(self.settle)
+        self.view.subscribe(self.reconcile)
         self.tasks.spawn(self.poll_load(), "poll load report")
-        self.settle()
+        self.reconcile()
 
     def is_stopping(self) -> bool:
         """Tell whether this agent or its endpoint is about to stop."""
@@ -96,7 +96,7 @@
         self.logger.log(
             events.Event.AGENT_DRAINING, running=len(self.running), staged=len(self.staged)
         )
-        self.settle()
+        self.reconcile()
 
     async def drained(self) -> None:
         """Wait until nothing runs or waits and every stream has been handed over."""
@@ -129,7 +129,7 @@
         self.open_streams += 1
         self.staged.append(run)
         try:
-            self.settle()
+            self.reconcile()
             yield attempts.Accepted()
             ended = False
             while not ended:
@@ -143,7 +143,7 @@
     def admit(self, request: attempts.AttemptRequest) -> attempts.Refused | None:
         """Take the attempt in or tell why not. Its slot is used up in both cases."""
         now = time.monotonic()
-        reason = self.checks.check_addressee(request)
+        reason = self.checks.check_target(request)
         if reason is None and self.attempts.is_known(request.attempt_id):
             reason = Reason.DUPLICATE_ATTEMPT
         if reason is None:
@@ -183,11 +183,11 @@
             self.note_finished(run.request.ticket_id, 0.0)
         elif run.task is not None and run.is_model:
             run.task.cancel()
-        self.settle()
+        self.reconcile()
 
     # Starting
 
-    def settle(self) -> None:
+    def reconcile(self) -> None:
         """Start what may start, refuse what may not, and tell the offer loop."""
         self.checks.note_view(time.monotonic())
         service = self.checks.service
@@ -247,7 +247,7 @@
         if deadline is not None:
             loop = asyncio.get_running_loop()
             delay = clocks.remaining_seconds(deadline) + 0.001
-            self.deadline_timer = loop.call_later(delay, self.settle)
+            self.deadline_timer = loop.call_later(delay, self.reconcile)
 
     # Ending
 
@@ -260,7 +260,7 @@
         if run.started_at is not None:
             self.metrics.busy_slot_seconds.inc(now - run.started_at)
         self.note_finished(run.request.ticket_id, run.cost)
-        self.settle()
+        self.reconcile()
 
     def note_finished(self, ticket_id: str, cost: float) -> None:
         """Keep the final cost of a ticket for the next report."""
@@ -296,7 +296,7 @@
             self.log_report_missing(str(answer.failure()), now)
         else:
             self.take_report(report, requested_at, now)
-        self.settle()
+        self.reconcile()
 
     def log_report_missing(self, cause: str, now: float) -> None:
         """Log once that the load report is missing."""
@@ -320,24 +320,24 @@
 
     # What the offer loop reads
 
-    def issue_slots(self) -> offers.OfferedSlots:
+    def issue_slots(self) -> offers.SlotOffer:
         """Issue what there is room for."""
         now = time.monotonic()
         room = 0
         if self.checks.check_standing() is None:
             room = self.capacity.room(len(self.staged), now) - self.slots.issued(now)
         slot_ids, deadline = self.slots.issue(room, now)
-        return offers.OfferedSlots(slot_ids=slot_ids, deadline=deadline)
+        return offers.SlotOffer(slot_ids=slot_ids, deadline=deadline)
 
-    def return_slots(self, slot_ids: tuple[int, ...]) -> None:
+    def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:
         """Take back slots that a dispatcher discarded, so that new ones may be issued."""
         for slot_id in slot_ids:
             self.slots.take_back(slot_id)
 
-    def report(self) -> offers.ServiceReport:
+    def report(self) -> offers.UsageReport:
         """Return all counters; the finished tickets are handed over once."""
         finished, self.finished = self.finished, {}
-        return offers.ServiceReport(
+        return offers.UsageReport(
             counters=self.counters.snapshot(),
             progress={run.request.ticket_id: run.cost for run in self.running.values()},
             finished=finished,
@@ -351,11 +351,11 @@
         """Tell whether the agent is out of service or about to stop."""
         return self.checks.check_out_of_service() is not None
 
-    def note_hop_time(self, seconds: float) -> None:
+    def record_one_way_delay(self, seconds: float) -> None:
         """Record a one-way time to the dispatcher in seconds."""
         self.capacity.depth.note_hop_time(seconds)
 
-    def note_waiting(self, count: int) -> None:
+    def record_waiting_tickets(self, count: int) -> None:
         """Record how many tickets wait at the dispatcher."""
         self.work_waits = count > 0
 
--- a/src/masticward/coordination/fleet_view.py
+++ b/src/masticward/coordination/fleet_view.py
@@ -25,14 +25,14 @@
         """Return every instance known, whether or not it responds."""
 
     @abc.abstractmethod
-    def agents_of(self, service: str) -> list[membership.Instance]:
+    def available_agents(self, service: str) -> list[membership.Instance]:
         """Return the agents of a service that may receive work.
 
         They are listed, not leaving, in service (zone and instance) and not suspected.
         """
 
     @abc.abstractmethod
-    def is_out(self, instance_id: str, availability_zone: str) -> bool:
+    def is_out_of_service(self, instance_id: str, availability_zone: str) -> bool:
         """Tell whether operators have taken the instance or its zone out of service."""
 
     @abc.abstractmethod
@@ -52,10 +52,10 @@
 
     @abc.abstractmethod
     def suspect(self, instance_id: str) -> None:
-        """Leave an instance out of ``agents_of`` until it answers an exchange again."""
+        """Leave an instance out of ``available_agents`` until it answers an exchange again."""
 
     @abc.abstractmethod
-    def note_versions(
+    def pull_newer_versions(
         self, config_version: int, operations_version: int, peer_address: str
     ) -> None:
         """Pull from the peer at once if it has a newer version."""
--- a/src/masticward/coordination/offers.py
+++ b/src/masticward/coordination/offers.py
@@ -34,14 +34,14 @@
 RELEASE_SECONDS = 0.5
 
 
-class OfferedSlots(msgspec.Struct, frozen=True, kw_only=True):
+class SlotOffer(msgspec.Struct, frozen=True, kw_only=True):
     """Slot ids issued together, valid until a monotonic deadline in seconds."""
 
     slot_ids: tuple[int, ...]
     deadline: float
 
 
-class ServiceReport(msgspec.Struct, frozen=True, kw_only=True):
+class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
     """What an agent rendered, in cost units. Counters grow only, within one incarnation.
 
     ``progress`` holds the cost so far of each running ticket. ``finished`` holds the final cost of
@@ -57,7 +57,7 @@
     admission_state: str
 
 
-class OfferSource(abc.ABC):
+class SlotSource(abc.ABC):
     """The side of the endpoint runner that the offer loop uses.
 
     ``changed`` is set whenever new slots may be issued or an attempt has ended.
@@ -66,31 +66,31 @@
     changed: asyncio.Event
 
     @abc.abstractmethod
-    def issue_slots(self) -> OfferedSlots:
+    def issue_slots(self) -> SlotOffer:
         """Issue fresh slots up to the admission limit plus the staged depth; may be empty.
 
         Nothing is issued while the endpoint, its instance or its zone is out or leaving.
         """
 
     @abc.abstractmethod
-    def report(self) -> ServiceReport:
+    def report(self) -> UsageReport:
         """Return all counters, the progress of running tickets and the newly finished ones."""
 
     @abc.abstractmethod
     def is_retracted(self) -> bool:
         """Tell whether every slot that was offered must be withdrawn."""
 
-    def return_slots(self, slot_ids: tuple[int, ...]) -> None:  # noqa: B027
+    def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:  # noqa: B027
         """Take back slots that a dispatcher discarded unassigned, so that new ones may be issued.
 
         A source that does not override this issues new slots when the old ones expire.
         """
 
     @abc.abstractmethod
-    def note_hop_time(self, seconds: float) -> None:
+    def record_one_way_delay(self, seconds: float) -> None:
         """Record a measured one-way time to the dispatcher, used for the staged depth."""
 
-    def note_waiting(self, count: int) -> None:  # noqa: B027
+    def record_waiting_tickets(self, count: int) -> None:  # noqa: B027
         """Record how many tickets wait at the dispatcher that gets the offers."""
 
 
@@ -183,7 +183,7 @@
         first, self.answered = not self.answered, True
         self.backoff_seconds = INITIAL_BACKOFF_SECONDS
         self.waiting = waiting
-        self.loop.note_pong(self, round_trip_seconds, first)
+        self.loop.handle_pong(self, round_trip_seconds, first)
 
     def on_snapshot(self, message: masticward_pb2.Snapshot) -> None:
         """Store the snapshot for the next hello."""
@@ -192,7 +192,7 @@
     def on_returned(self, slot_ids: tuple[int, ...]) -> None:
         """Let the source issue new slots in place of the discarded ones."""
         self.offered_until = 0.0
-        self.loop.source.return_slots(slot_ids)
+        self.loop.source.reclaim_slots(slot_ids)
         self.loop.source.changed.set()
 
     def note_finished(self, finished: dict[str, float]) -> None:
@@ -206,7 +206,7 @@
         """Tell whether a session that gets no offers is due for a report."""
         return now - self.reported_at >= STANDBY_REPORT_SECONDS
 
-    def send_report(self, report: ServiceReport, now: float) -> None:
+    def send_report(self, report: UsageReport, now: float) -> None:
         """Send what changed since the last report of this session; nothing if nothing did."""
         if self.link is None:
             return
@@ -241,7 +241,7 @@
         self,
         view: fleet_view.FleetView,
         channels: channels_module.ChannelPool,
-        source: OfferSource,
+        source: SlotSource,
         instance: membership.Instance,
         incarnation: int,
     ) -> None:
@@ -281,7 +281,7 @@
         if self.closed:
             return
         service = self.instance.service
-        ranked = rendezvous.rank(service, self.view.agents_of(service))[:SESSION_COUNT]
+        ranked = rendezvous.rank(service, self.view.available_agents(service))[:SESSION_COUNT]
         if not ranked:
             # Sessions are kept while no candidate is known: the view may only be cut off.
             return
@@ -317,13 +317,15 @@
         self.view.suspect(target.id)
         self.follow_view()
 
-    def note_pong(self, session: DispatcherSession, round_trip_seconds: float, first: bool) -> None:
+    def handle_pong(
+        self, session: DispatcherSession, round_trip_seconds: float, first: bool
+    ) -> None:
         """Use a pong of a dispatcher: hop time, and where slots are wanted."""
         primary, standby = self.primary, self.standby
         if session is primary:
-            self.source.note_hop_time(round_trip_seconds / 2)
+            self.source.record_one_way_delay(round_trip_seconds / 2)
         if session is self.choose_session():
-            self.source.note_waiting(session.waiting)
+            self.source.record_waiting_tickets(session.waiting)
         if first:
             self.source.changed.set()
         if primary is not None and standby is not None and wants_standby(primary, standby):
--- a/src/masticward/coordination/request_lifecycle.py
+++ b/src/masticward/coordination/request_lifecycle.py
@@ -154,7 +154,7 @@
             slot = assignment.slot
             unusable = (
                 slot.deadline <= time.monotonic()
-                or self.context.view.is_out(slot.agent_id, slot.availability_zone)
+                or self.context.view.is_out_of_service(slot.agent_id, slot.availability_zone)
                 or self.context.view.is_leaving(slot.agent_id)
                 # The dispatcher may hear from an agent that this entry cannot reach. To try it
                 # costs up to the 2 s of the slot.
@@ -305,7 +305,7 @@
         if older_configuration or older_operations:
             configuration = view.configuration
             version = configuration.version if configuration is not None else 0
-            view.note_versions(
+            view.pull_newer_versions(
                 version + int(older_configuration),
                 view.operations.version + int(older_operations),
                 assignment.slot.agent_address,
--- a/src/masticward/coordination/router.py
+++ b/src/masticward/coordination/router.py
@@ -122,13 +122,13 @@
         self.table: route_table.RouteTable | None = None
 
     @property
-    def tickets(self) -> tickets_module.TicketExchange | None:
-        """The exchange that queues tickets at the dispatchers."""
-        return self.submitter.exchange
+    def tickets(self) -> tickets_module.TicketClient | None:
+        """The client that queues tickets at the dispatchers."""
+        return self.submitter.ticket_client
 
     @tickets.setter
-    def tickets(self, exchange: tickets_module.TicketExchange) -> None:
-        self.submitter.exchange = exchange
+    def tickets(self, ticket_client: tickets_module.TicketClient) -> None:
+        self.submitter.ticket_client = ticket_client
 
     def on_assign(self, assignment: work.Assignment) -> bool:
         """Hand a slot to its request; returns False if the ticket no longer waits."""
--- a/src/masticward/coordination/run_execution.py
+++ b/src/masticward/coordination/run_execution.py
@@ -126,7 +126,7 @@
         self.runner.metrics.first_token_seconds.observe(seconds)
         if self.runner.capacity.limit.note_first_token(seconds, self.run.epoch, now):
             self.runner.note_cold("slow first token")
-        self.runner.settle()
+        self.runner.reconcile()
 
     def is_token_stream(self) -> bool:
         """Tell whether the engine answers with tokens; an error says nothing of how warm it is."""
@@ -219,7 +219,7 @@
         limit = self.runner.capacity.limit
         if limit.note_overdue_first_token(seconds, self.run.epoch, time.monotonic()):
             self.runner.note_cold("first token overdue")
-            self.runner.settle()
+            self.runner.reconcile()
 
     def end_first_token_wait(self) -> None:
         """Stop watching and make room for another call that waits for its first token."""
--- a/src/masticward/coordination/ticket_submitter.py
+++ b/src/masticward/coordination/ticket_submitter.py
@@ -21,11 +21,11 @@
 class TicketSubmitter:
     """Submits tickets in order, a bounded number per team and service, and hands out slots."""
 
-    __slots__ = ("exchange", "limit", "waiters", "windows")
+    __slots__ = ("limit", "ticket_client", "waiters", "windows")
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self.exchange: tickets_module.TicketExchange | None = None
+        self.ticket_client: tickets_module.TicketClient | None = None
         self.waiters: dict[str, Waiter] = {}
         self.windows: dict[tuple[str, str], ticket_window.TicketWindow] = {}
 
@@ -69,18 +69,18 @@
 
     def decline(self, assignment: work.Assignment, *, slot_valid: bool) -> None:
         """Give a slot back to the dispatcher."""
-        if self.exchange is not None:
-            self.exchange.decline(assignment, slot_valid)
+        if self.ticket_client is not None:
+            self.ticket_client.decline(assignment, slot_valid)
 
     def dispatcher_of(self, service: str) -> str:
         """Return the id of the service's dispatcher, or an empty string."""
-        return self.exchange.dispatcher_of(service) if self.exchange is not None else ""
+        return self.ticket_client.dispatcher_of(service) if self.ticket_client is not None else ""
 
     def forget(self, ticket: work.Ticket) -> None:
         """Drop a ticket; it is withdrawn from the dispatcher if it is still queued there."""
         self.waiters.pop(ticket.id, None)
-        if self.remove_from_window(ticket) and self.exchange is not None:
-            self.exchange.withdraw(ticket.id)
+        if self.remove_from_window(ticket) and self.ticket_client is not None:
+            self.ticket_client.withdraw(ticket.id)
 
     def remove_from_window(self, ticket: work.Ticket) -> bool:
         """Remove a ticket from its window and submit the next; True if it was outstanding."""
@@ -106,7 +106,7 @@
     def submit_next(self, team: str, service: str) -> None:
         """Submit the tickets that the window of a team and service has room for."""
         window = self.windows.get((team, service))
-        if window is None or self.exchange is None:
+        if window is None or self.ticket_client is None:
             return
         for ticket_id in window.take_submittable():
-            self.exchange.submit(self.waiters[ticket_id].ticket)
+            self.ticket_client.submit(self.waiters[ticket_id].ticket)
--- a/src/masticward/coordination/tickets.py
+++ b/src/masticward/coordination/tickets.py
@@ -18,7 +18,7 @@
 MAXIMUM_BACKOFF_SECONDS = 0.5
 
 
-class TicketExchange(abc.ABC):
+class TicketClient(abc.ABC):
     """Keeps tickets queued at the right dispatcher until they are assigned or withdrawn.
 
     Assignments reach the router through the callback ``on_assign(assignment)`` given at
@@ -48,8 +48,8 @@
 class ServiceSession(dispatch_client.EntryListener):
     """The waiting tickets of one service and the session with its dispatcher."""
 
-    def __init__(self, exchange: "DispatchTicketExchange", service: str) -> None:
-        self.exchange = exchange
+    def __init__(self, client: "DispatcherTicketClient", service: str) -> None:
+        self.client = client
         self.service = service
         self.waiting: dict[str, work.Ticket] = {}
         self.target: membership.Instance | None = None
@@ -60,7 +60,7 @@
 
     def choose(self) -> membership.Instance | None:
         """Return the first candidate for dispatcher, None if there is none."""
-        ranked = rendezvous.rank(self.service, self.exchange.view.agents_of(self.service))
+        ranked = rendezvous.rank(self.service, self.client.view.available_agents(self.service))
         return ranked[0] if ranked else None
 
     def follow_view(self) -> None:
@@ -94,11 +94,11 @@
     async def serve(self, target: membership.Instance) -> bool:
         """Hold one session; True if it ended because another dispatcher was chosen."""
         hello = masticward_pb2.EntryHello(
-            entry_id=self.exchange.entry_id,
-            incarnation=self.exchange.incarnation,
+            entry_id=self.client.entry_id,
+            incarnation=self.client.incarnation,
             service=self.service,
         )
-        link = dispatch_client.EntryLink(self.exchange.channels, target.peer_address, hello, self)
+        link = dispatch_client.EntryLink(self.client.channels, target.peer_address, hello, self)
         for ticket in sorted(self.waiting.values(), key=lambda item: item.arrived_at):
             link.enqueue(ticket)
         self.link = link
@@ -119,7 +119,7 @@
                 dispatcher=target.id,
                 error=str(task.exception()),
             )
-        self.exchange.view.suspect(target.id)
+        self.client.view.suspect(target.id)
         return False
 
     async def wait_for_change(self) -> None:
@@ -138,14 +138,14 @@
 
     def on_assign(self, assignment: work.Assignment) -> None:
         """Pass an assignment to the router, or decline it if its ticket no longer waits."""
-        self.exchange.agent_services[assignment.slot.agent_id] = self.service
+        self.client.agent_services[assignment.slot.agent_id] = self.service
         ticket = self.waiting.pop(assignment.ticket_id, None)
-        self.exchange.ticket_services.pop(assignment.ticket_id, None)
-        if (ticket is None or not self.exchange.on_assign(assignment)) and self.link is not None:
+        self.client.ticket_services.pop(assignment.ticket_id, None)
+        if (ticket is None or not self.client.on_assign(assignment)) and self.link is not None:
             self.link.decline(assignment, slot_valid=True)
 
 
-class DispatchTicketExchange(TicketExchange):
+class DispatcherTicketClient(TicketClient):
     """Holds one session for each service that the configuration names or a ticket needs."""
 
     def __init__(
--- a/src/masticward/coordination/view.py
+++ b/src/masticward/coordination/view.py
@@ -90,7 +90,7 @@
         """Return every instance known, this one included, whether or not it responds."""
         return self.membership.members(time.monotonic())
 
-    def agents_of(self, service: str) -> list[membership_models.Instance]:
+    def available_agents(self, service: str) -> list[membership_models.Instance]:
         """Return the agents of a service that may receive work, sorted by id."""
         key = (self.membership.revision, self.versions.operations_version)
         if key != self.agents_key:
@@ -106,12 +106,12 @@
                 instance.role is membership_models.Role.AGENT
                 and not instance.leaving
                 and not self.membership.is_suspected(instance.id)
-                and not self.is_out(instance.id, instance.availability_zone)
+                and not self.is_out_of_service(instance.id, instance.availability_zone)
             ):
                 usable.setdefault(instance.service, []).append(instance)
         return usable
 
-    def is_out(self, instance_id: str, availability_zone: str) -> bool:
+    def is_out_of_service(self, instance_id: str, availability_zone: str) -> bool:
         """Tell whether operators have taken the instance or its zone out of service."""
         operations = self.versions.operations
         return availability_zone in operations.zones_out or instance_id in operations.instances_out
@@ -129,13 +129,13 @@
         return self.exchanges.latest_answered_send + FRESH_SECONDS
 
     def suspect(self, instance_id: str) -> None:
-        """Leave an instance out of ``agents_of`` until it answers an exchange again."""
+        """Leave an instance out of ``available_agents`` until it answers an exchange again."""
         if self.membership.suspect(instance_id, time.monotonic()):
             logger.log(events.Event.MEMBER_SUSPECTED, instance=instance_id)
             self.notify()
         self.exchanges.round_wanted.set()
 
-    def note_versions(
+    def pull_newer_versions(
         self, config_version: int, operations_version: int, peer_address: str
     ) -> None:
         """Pull from the peer at once if it has a newer version."""
@@ -179,7 +179,9 @@
         self.notify_members()
         if member is None:
             return
-        self.note_versions(digest.config_version, digest.operations_version, digest.peer_address)
+        self.pull_newer_versions(
+            digest.config_version, digest.operations_version, digest.peer_address
+        )
         unknown = not member.listed and member.contact_at is None
         if unknown or instance.id in self.exchanges.failures or member.suspected_at is not None:
             self.exchanges.start(instance)
--- a/src/masticward/daemons/agent.py
+++ b/src/masticward/daemons/agent.py
@@ -84,7 +84,9 @@
             "running": len(self.runner.running),
             "staged": len(self.runner.staged),
             "leaving": self.view.is_leaving(self.settings.instance_id),
-            "out": self.view.is_out(self.settings.instance_id, self.settings.availability_zone),
+            "out": self.view.is_out_of_service(
+                self.settings.instance_id, self.settings.availability_zone
+            ),
         }
 
 
--- a/src/masticward/daemons/entry.py
+++ b/src/masticward/daemons/entry.py
@@ -26,7 +26,7 @@
         self.settings = entry_settings
         self.http_port = 0
         self.router: router.Router
-        self.tickets: tickets.DispatchTicketExchange
+        self.tickets: tickets.DispatcherTicketClient
         self.http: entry_http.EntryHttpServer
 
     async def start(self) -> None:
@@ -42,7 +42,7 @@
             self.claims,
             self.metrics,
         )
-        self.tickets = tickets.DispatchTicketExchange(
+        self.tickets = tickets.DispatcherTicketClient(
             self.view, self.channels, instance.id, self.incarnation, self.router.on_assign
         )
         self.router.tickets = self.tickets
--- a/tests/functional/test_agent_refusals.py
+++ b/tests/functional/test_agent_refusals.py
@@ -52,16 +52,16 @@
             with self.subTest(reason=reason):
                 await self.expect(reason, request)
         pulls = [mock.call(4, 2, "127.0.0.1:9")]
-        self.assertEqual(pulls, self.view.note_versions.call_args_list)
+        self.assertEqual(pulls, self.view.pull_newer_versions.call_args_list)
 
     async def test_configurations_that_differ_in_other_things(self) -> None:
         """Fails if a change of no concern refuses calls, or if a concerning one lets them run."""
         newer = self.attempt(config_version=4, entry_peer_address="127.0.0.1:9")
         self.assertIsInstance((await self.harness.run(newer))[-1], attempts.Finished)
-        self.view.note_versions.assert_called_once_with(4, 2, "127.0.0.1:9")
+        self.view.pull_newer_versions.assert_called_once_with(4, 2, "127.0.0.1:9")
         before = self.view.configuration
         self.view.configuration = msgspec.structs.replace(before, version=4)
-        self.runner.settle()
+        self.runner.reconcile()
         older = self.attempt(config_version=3)
         self.assertIsInstance((await self.harness.run(older))[-1], attempts.Finished)
         service = before.services[0]
@@ -72,7 +72,7 @@
         routed_before = [self.attempt(config_version=version) for version in (4, 5)]
         service = msgspec.structs.replace(service, operations=tuple(changed))
         self.view.configuration = msgspec.structs.replace(before, version=5, services=(service,))
-        self.runner.settle()
+        self.runner.reconcile()
         for request in routed_before:
             await self.expect(Reason.OLDER_CONFIGURATION, request)
 
@@ -80,7 +80,7 @@
         """Fails if an entry that is cut off uses an earlier configuration for ever."""
         self.view.configuration = msgspec.structs.replace(self.view.configuration, version=4)
         with mock.patch.object(admission_checks, "SUPERSEDED_SECONDS", 0.05):
-            self.runner.settle()
+            self.runner.reconcile()
         await asyncio.sleep(0.06)
         await self.expect(Reason.OLDER_CONFIGURATION, self.attempt(config_version=3))
 
@@ -93,7 +93,7 @@
             self.assertIsInstance((await self.harness.run(request))[-1], attempts.Finished)
             self.view.operations = state(version=2, zones_out=(agent_harness.ZONE,))
             await self.expect(Reason.ZONE_OUT, self.attempt(operations_version=version))
-        self.view.note_versions.assert_any_call(3, 3, "127.0.0.1:9")
+        self.view.pull_newer_versions.assert_any_call(3, 3, "127.0.0.1:9")
 
     async def test_changed_view(self) -> None:
         view = self.view
@@ -158,7 +158,7 @@
         # Load reports would look at the waiting calls, too.
         self.runner = await self.harness.start_agent(period=60.0)
         self.runner.capacity.depth.note_service_time(0.1)
-        self.runner.note_hop_time(0.2)
+        self.runner.record_one_way_delay(0.2)
         self.running = self.harness.spawn(self.harness.attempt())
         await agent_harness.until(lambda: self.harness.server.recorder.running == 1)
 
--- a/tests/functional/test_dispatch_sessions.py
+++ b/tests/functional/test_dispatch_sessions.py
@@ -50,12 +50,12 @@
 
     async def start_entry(self) -> None:
         self.pool = channels.ChannelPool(dispatch_fleet.transport())
-        self.exchange = tickets.DispatchTicketExchange(
+        self.ticket_client = tickets.DispatcherTicketClient(
             self.entry_view, self.pool, "entry-1", 1, self.on_assign
         )
-        await self.exchange.start()
+        await self.ticket_client.start()
         self.addAsyncCleanup(self.pool.close)
-        self.addAsyncCleanup(self.exchange.close)
+        self.addAsyncCleanup(self.ticket_client.close)
 
     def on_assign(self, assignment: work.Assignment) -> bool:
         """Run the ticket as the router would; retry it if its slot is not valid."""
@@ -69,13 +69,13 @@
             loop = asyncio.get_running_loop()
             loop.call_later(self.service_seconds, source.end, assignment.ticket_id, 5.0)
         else:
-            self.exchange.decline(assignment, slot_valid=False)
+            self.ticket_client.decline(assignment, slot_valid=False)
             self.submit(assignment.ticket_id, retried=True)
         return True
 
     def submit(self, *ticket_ids: str, **changes: object) -> None:
         for ticket_id in ticket_ids:
-            self.exchange.submit(dispatch_fleet.ticket(ticket_id, "red", **changes))
+            self.ticket_client.submit(dispatch_fleet.ticket(ticket_id, "red", **changes))
 
     def ranked(self) -> list[dispatch_fleet.AgentProcess]:
         instances = [agent.instance for agent in self.agents]
@@ -156,7 +156,7 @@
         await self.start_agents()
         await self.start_entry()
         self.submit("t1", "t2", "t3")
-        self.exchange.withdraw("t2")
+        self.ticket_client.withdraw("t2")
         await self.assert_started_once(2)
         self.assertEqual({"t1", "t3"}, set(self.started))
 
@@ -185,7 +185,7 @@
         first, second, _ = self.ranked()
         await first.stop()
         await self.assert_started_once(100)
-        self.assertEqual(second.agent_id, self.exchange.dispatcher_of(SERVICE))
+        self.assertEqual(second.agent_id, self.ticket_client.dispatcher_of(SERVICE))
 
     async def test_standby_continues_the_virtual_times(self) -> None:
         """Fails if the standby starts from zero or charges the past again."""
@@ -236,7 +236,7 @@
         await self.start_entry()
         self.submit(*(f"t{number}" for number in range(20)))
         await self.assert_started_once(20)
-        self.assertEqual(second.agent_id, self.exchange.dispatcher_of(SERVICE))
+        self.assertEqual(second.agent_id, self.ticket_client.dispatcher_of(SERVICE))
 
     async def test_slots_come_back_from_a_dispatcher_that_leaves(self) -> None:
         """Fails if free slots stay with a dispatcher whose zone is out until they expire, so that
--- a/tests/functional/test_view.py
+++ b/tests/functional/test_view.py
@@ -53,15 +53,15 @@
             platforms.make_entry("e2"), object_api_url=platforms.UNREACHABLE_URL
         )
         await platforms.wait_until(
-            lambda: len(cut_off.view.agents_of("ledger")) == 2, "both agents usable"
+            lambda: len(cut_off.view.available_agents("ledger")) == 2, "both agents usable"
         )
         (await self.platform.operator().take_out_zone("north", False, platforms.soon())).unwrap()
         await self.wait_for_versions([cut_off, agent], (1, 1))
-        self.assertTrue(agent.view.is_out("a1", "north"))
-        self.assertEqual(cut_off.view.agents_of("ledger"), [spare.instance])
+        self.assertTrue(agent.view.is_out_of_service("a1", "north"))
+        self.assertEqual(cut_off.view.available_agents("ledger"), [spare.instance])
         (await self.platform.operator().bring_in_zone("north", platforms.soon())).unwrap()
         await self.wait_for_versions([cut_off, agent], (1, 2))
-        self.assertEqual(2, len(cut_off.view.agents_of("ledger")))
+        self.assertEqual(2, len(cut_off.view.available_agents("ledger")))
 
     async def test_restart_without_memory_while_the_object_api_is_down(self) -> None:
         """Fails if a restarted process cannot recover its versions from peers."""
@@ -169,34 +169,40 @@
         other = await self.platform.add(
             platforms.make_agent("a1"), object_api_url=platforms.UNREACHABLE_URL
         )
-        # Without its background tasks the process learns only from note_versions.
+        # Without its background tasks the process learns only from pull_newer_versions.
         await other.view.tasks.cancel()
         entry.view.subscribe(lambda: None)
         await self.platform.publish(share=1.0)
         await self.wait_for_versions([entry], (1, 0))
-        other.view.note_versions(1, 0, entry.instance.peer_address)
+        other.view.pull_newer_versions(1, 0, entry.instance.peer_address)
         await self.wait_for_versions([other], (1, 0))
 
     async def test_crashed_peer_is_suspected_until_it_answers(self) -> None:
         """Fails if a dead agent keeps receiving work or a returned one does not."""
         entry = await self.platform.add(platforms.make_entry("e1"))
         agent = await self.platform.add(platforms.make_agent("a1"))
-        await platforms.wait_until(lambda: bool(entry.view.agents_of("ledger")), "agent usable")
+        await platforms.wait_until(
+            lambda: bool(entry.view.available_agents("ledger")), "agent usable"
+        )
         await self.platform.stop_process(agent)
-        await platforms.wait_until(lambda: not entry.view.agents_of("ledger"), "suspected")
+        await platforms.wait_until(lambda: not entry.view.available_agents("ledger"), "suspected")
         self.assertIn("a1", {instance.id for instance in entry.view.members()})
         await self.platform.add(platforms.make_agent("a1"), incarnation=2)
-        await platforms.wait_until(lambda: bool(entry.view.agents_of("ledger")), "usable again")
+        await platforms.wait_until(
+            lambda: bool(entry.view.available_agents("ledger")), "usable again"
+        )
 
     async def test_leaving_is_announced_without_the_list(self) -> None:
         """Fails if peers learn only from the lagging list that an agent leaves (P8)."""
         entry = await self.platform.add(platforms.make_entry("e1"))
         agent = await self.platform.add(platforms.make_agent("a1"))
-        await platforms.wait_until(lambda: bool(entry.view.agents_of("ledger")), "agent usable")
+        await platforms.wait_until(
+            lambda: bool(entry.view.available_agents("ledger")), "agent usable"
+        )
         agent.view.announce_leaving()
         took = await platforms.wait_until(lambda: entry.view.is_leaving("a1"), "leaving known")
         self.assertLess(took, 3.0)
-        self.assertEqual([], entry.view.agents_of("ledger"))
+        self.assertEqual([], entry.view.available_agents("ledger"))
 
     async def test_last_list_is_kept_while_the_list_is_down(self) -> None:
         """Fails if an outage of the instance list empties the view."""
@@ -230,7 +236,7 @@
                 lambda process=process: process.view.fresh_until() > time.monotonic(), "healed"
             )
             self.assertLess(took, HEALED_SECONDS)
-        self.assertEqual(1, len(entry.view.agents_of("ledger")))
+        self.assertEqual(1, len(entry.view.available_agents("ledger")))
 
     async def test_exchange_does_not_wait_for_a_silent_connection(self) -> None:
         """Fails if a process waits until TCP or keep-alive gives up a connection that is dead."""
--- a/tests/lib/agent_harness.py
+++ b/tests/lib/agent_harness.py
@@ -35,7 +35,7 @@
         ),
         operations=configuration_models.OperationsState(version=2),
     )
-    view.is_out = lambda instance_id, zone: bool(
+    view.is_out_of_service = lambda instance_id, zone: bool(
         {instance_id, zone} & {*view.operations.zones_out, *view.operations.instances_out}
     )
     view.is_leaving.return_value = False
--- a/tests/lib/dispatch_fleet.py
+++ b/tests/lib/dispatch_fleet.py
@@ -92,11 +92,11 @@
     def members(self) -> list[membership.Instance]:
         return list(self.agents.values())
 
-    def agents_of(self, service: str) -> list[membership.Instance]:
+    def available_agents(self, service: str) -> list[membership.Instance]:
         hidden = self.suspected | self.out | self.leaving
         return [item for item in self.agents.values() if item.id not in hidden]
 
-    def is_out(self, instance_id: str, availability_zone: str) -> bool:
+    def is_out_of_service(self, instance_id: str, availability_zone: str) -> bool:
         return instance_id in self.out
 
     def is_leaving(self, instance_id: str) -> bool:
@@ -113,7 +113,7 @@
             self.suspected.add(instance_id)
             self.changed()
 
-    def note_versions(
+    def pull_newer_versions(
         self, config_version: int, operations_version: int, peer_address: str
     ) -> None:
         pass
@@ -129,7 +129,7 @@
             callback()
 
 
-class FakeSource(offers.OfferSource):
+class FakeSource(offers.SlotSource):
     """An endpoint with a fixed limit; the test starts and ends its work."""
 
     def __init__(self, limit: int) -> None:
@@ -144,16 +144,16 @@
         self.hop_seconds = 0.0
         self.retracted = False
 
-    def issue_slots(self) -> offers.OfferedSlots:
+    def issue_slots(self) -> offers.SlotOffer:
         now = time.monotonic()
         self.slots = {key: value for key, value in self.slots.items() if value > now}
         count = self.limit - len(self.slots) - len(self.running)
         fresh = tuple(range(self.next_slot, self.next_slot + max(0, count)))
         self.next_slot += len(fresh)
         self.slots.update(dict.fromkeys(fresh, now + 2.0))
-        return offers.OfferedSlots(slot_ids=fresh, deadline=now + 2.0)
+        return offers.SlotOffer(slot_ids=fresh, deadline=now + 2.0)
 
-    def return_slots(self, slot_ids: tuple[int, ...]) -> None:
+    def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:
         for slot_id in slot_ids:
             self.slots.pop(slot_id, None)
 
@@ -170,10 +170,10 @@
         self.finished[ticket_id] = cost
         self.changed.set()
 
-    def report(self) -> offers.ServiceReport:
+    def report(self) -> offers.UsageReport:
         self.reports += 1
         finished, self.finished = self.finished, {}
-        return offers.ServiceReport(
+        return offers.UsageReport(
             counters=dict(self.counters),
             progress=dict.fromkeys(self.running, 0.0),
             finished=finished,
@@ -186,7 +186,7 @@
     def is_retracted(self) -> bool:
         return self.retracted
 
-    def note_hop_time(self, seconds: float) -> None:
+    def record_one_way_delay(self, seconds: float) -> None:
         self.hop_seconds = seconds
 
 
--- a/tests/lib/entry_fakes.py
+++ b/tests/lib/entry_fakes.py
@@ -68,14 +68,14 @@
     view.configuration = build_configuration()
     view.operations = configuration_models.OperationsState(version=1)
     view.out = set()
-    view.is_out.side_effect = lambda instance_id, zone: instance_id in view.out
+    view.is_out_of_service.side_effect = lambda instance_id, zone: instance_id in view.out
     view.is_leaving.return_value = False
     view.suspected = set()
     view.is_suspected.side_effect = lambda instance_id: instance_id in view.suspected
     return view
 
 
-class FakeExchange(tickets.TicketExchange):
+class FakeExchange(tickets.TicketClient):
     """Gives each ticket a slot at once while ``automatic``, else when told to."""
 
     def __init__(self, target: router.Router) -> None:
--- a/tests/unit/test_router.py
+++ b/tests/unit/test_router.py
@@ -67,7 +67,7 @@
         )
         self.assertEqual("complete", (await fixture.call("/v1/book")).outcome)
         version = fixture.view.configuration.version
-        fixture.view.note_versions.assert_called_once_with(version, 2, "127.0.0.1:1")
+        fixture.view.pull_newer_versions.assert_called_once_with(version, 2, "127.0.0.1:1")
 
     async def test_call_whose_operation_was_changed_while_it_waited_is_not_run(self) -> None:
         """Fails if such a call goes round the refusing agents until its deadline."""
--- a/tests/unit/test_staged_depth.py
+++ b/tests/unit/test_staged_depth.py
@@ -71,9 +71,9 @@
             mock.Mock(configuration=None), mock.Mock(), instance, 1, "booking"
         )
         (slot_id,), _ = runner.slots.issue(1, time.monotonic() - 0.03)
-        runner.note_waiting(waiting)
+        runner.record_waiting_tickets(waiting)
         runner.checks = mock.Mock()
-        runner.checks.check_addressee.return_value = None
+        runner.checks.check_target.return_value = None
         runner.admit(mock.Mock(slot_id=slot_id, attempt_id="a1", ticket_id="t1"))
         return runner.capacity.depth.turnaround_seconds
 
@@ -84,8 +84,8 @@
         session = mock.Mock(usable=True, waiting=3)
         loop.ranked = [("agent-1", "address")]
         loop.sessions = {("agent-1", "address"): session}
-        loop.note_pong(session, 0.002, first=False)
-        source.note_waiting.assert_called_once_with(3)
+        loop.handle_pong(session, 0.002, first=False)
+        source.record_waiting_tickets.assert_called_once_with(3)
 
     async def test_slot_that_finds_work_waiting_is_measured(self) -> None:
         """Fails if the time in the queues of dispatcher and entry is not seen."""
