--- a/src/masticward/bench/part_costs.py
+++ b/src/masticward/bench/part_costs.py
@@ -122,7 +122,7 @@
         split.append(Point(size=teams, value=elapsed_microseconds(started)))
         store = versions.VersionStore()
         started = time.process_time()
-        store.take_configuration(raw)
+        store.adopt_configuration(raw)
         decode.append(Point(size=teams, value=elapsed_microseconds(started)))
         size, _ = allocated(functools.partial(take, raw))
         held.append(Point(size=teams, value=size))
@@ -140,7 +140,7 @@
 def take(raw: bytes) -> versions.VersionStore:
     """Return a version store that holds a configuration."""
     store = versions.VersionStore()
-    store.take_configuration(bytes(raw))
+    store.adopt_configuration(bytes(raw))
     return store
 
 
--- a/src/masticward/coordination/claims.py
+++ b/src/masticward/coordination/claims.py
@@ -414,7 +414,7 @@
     ) -> result.Result[claims_state.ClaimRecord, errors.StoreError]:
         """Write a large outcome to its object and return the record that refers to it."""
         outcome = typing.cast(claims_state.RecordedOutcome, finished.outcome)
-        name = claims_state.outcome_name(claim)
+        name = claims_state.outcome_object_name(claim)
         written = await self.store.put(
             name, claims_state.encode_outcome(outcome), 0, clocks.deadline_after(CALL_SECONDS)
         )
@@ -479,7 +479,7 @@
     """Tell whether an outcome is too large for its record or for the shard."""
     if finished.outcome is None:
         return False
-    return len(finished.outcome.body) > claims_state.INLINE_OUTCOME_BYTES or not shard.fits(
+    return len(finished.outcome.body) > claims_state.INLINE_OUTCOME_LIMIT_BYTES or not shard.fits(
         claim, finished
     )
 
@@ -493,7 +493,7 @@
 
 def shard_of(claim: claims_state.Claim) -> str:
     """Return the name of the object that holds a claim's key."""
-    return claims_state.shard_name(claim.key_digest)
+    return claims_state.claim_shard_object_name(claim.key_digest)
 
 
 def unavailable(detail: str) -> result.Result[typing.Any, errors.ClaimUnavailableError]:
--- a/src/masticward/coordination/configuration_reader.py
+++ b/src/masticward/coordination/configuration_reader.py
@@ -45,7 +45,7 @@
             if name in self.known_shards:
                 return result.Success(self.known_shards[name])
             async with limit:
-                answer = await self.store.get(objects.shard_name(name), deadline)
+                answer = await self.store.get(objects.team_shard_object_name(name), deadline)
             return answer.map(note_version)
 
         answers = await asyncio.gather(*(read(name) for name in manifest.team_shards))
@@ -86,7 +86,7 @@
         except (ValueError, msgspec.DecodeError) as error:
             return result.Failure(errors.VersionRefusedError(f"shard: {error}"))
         self.known_shards, self.known_teams = contents, teams
-        names = {objects.shard_name(name) for name in contents}
+        names = {objects.team_shard_object_name(name) for name in contents}
         self.stored_versions = {
             name: version for name, version in self.stored_versions.items() if name in names
         }
--- a/src/masticward/coordination/peer_exchange.py
+++ b/src/masticward/coordination/peer_exchange.py
@@ -153,7 +153,7 @@
             return
         was_suspected = self.membership.is_suspected(instance.id)
         self.failures.pop(instance.id, None)
-        self.membership.note_contact(instance, digest.incarnation, sent_at, time.monotonic())
+        self.membership.record_exchange(instance, digest.incarnation, sent_at, time.monotonic())
         if was_suspected and not self.membership.is_suspected(instance.id):
             logger.log(events.Event.MEMBER_RESPONDS, instance=instance.id)
         self.owner.notify_members()
--- a/src/masticward/coordination/request_lifecycle.py
+++ b/src/masticward/coordination/request_lifecycle.py
@@ -45,10 +45,10 @@
         "context",
         "eviction",
         "failed_starts",
-        "holding",
         "idempotency_key",
         "pauses",
         "refusal_count",
+        "reservation",
         "route",
         "sink",
         "task",
@@ -63,7 +63,7 @@
         *,
         call: work.CallRequest,
         route: route_table.Route,
-        holding: entry_queue.Holding,
+        reservation: entry_queue.Reservation,
         sink: response_sink.ResponseSink,
         record: explain.RequestRecord,
         idempotency_key: str,
@@ -71,7 +71,7 @@
         self.context = context
         self.call = call
         self.route = route
-        self.holding = holding
+        self.reservation = reservation
         self.sink = sink
         self.idempotency_key = idempotency_key
         self.trace = request_trace.RequestTrace(record, context.meters)
@@ -118,7 +118,7 @@
             )
             await self.end_unknown(refusals.attempt_failed("the entry failed"))
         finally:
-            self.holding.close()
+            self.reservation.release()
 
     async def run_claimed(self) -> None:
         """Claim the key if the call needs it, then attempt the call until it ends."""
@@ -161,7 +161,7 @@
                 or self.context.view.is_suspected(slot.agent_id)
             )
             if not unusable:
-                self.holding.stop_waiting()
+                self.reservation.leave_queue()
                 return assignment
             self.context.submitter.decline(assignment, slot_valid=False)
             await self.pause(0.0, "no usable slot was free before the deadline")
@@ -266,7 +266,7 @@
             raise self.no_capacity(
                 f"agents refused the call {self.refusal_count} times, last: {refusal.reason}"
             )
-        self.holding.wait_again()
+        self.reservation.requeue()
         await self.pause(
             refusal.retry_after_ms / clocks.MILLISECONDS_PER_SECOND,
             f"an agent refused the call ({refusal.reason}) and the deadline is too near",
@@ -330,7 +330,7 @@
         )
         if not may_repeat or not self.context.budget.take():
             raise refusals.attempt_failed(str(failure))
-        self.holding.wait_again()
+        self.reservation.requeue()
 
     async def pause(self, least_seconds: float, message: str) -> None:
         """Wait before the next ticket, longer each time, so that refusals do not spin."""
--- a/src/masticward/coordination/router.py
+++ b/src/masticward/coordination/router.py
@@ -24,7 +24,7 @@
 class Admission(request_gate.Admission):
     """An accepted request with its part of the queue's bounds."""
 
-    __slots__ = ("deadline", "head", "holding", "request_id", "route", "router", "team")
+    __slots__ = ("deadline", "head", "request_id", "reservation", "route", "router", "team")
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
         self.team = team
         self.route = route
         self.deadline = deadline
-        self.holding = router.queue.open(team, request_id)
+        self.reservation = router.queue.open(team, request_id)
 
     def grow(self, size: int) -> None:
         """Count bytes of the body before they are kept. Raises RequestRefusedError."""
         try:
-            self.holding.grow(size)
+            self.reservation.reserve_bytes(size)
         except errors.QueueFullError as error:
             raise refusals.queue_full(error) from error
 
@@ -137,10 +137,10 @@
     def admit(self, head: request_gate.RequestHead, request_id: str = "") -> Admission:
         """Authenticate the team and find the operation. Raises RequestRefusedError."""
         table = self.current_table()
-        team = table.team_of(head.credential)
+        team = table.team_for_credential(head.credential)
         if team is None:
             raise refusals.unknown_team()
-        route = table.find(head.method, head.path)
+        route = table.find_route(head.method, head.path)
         if route is None:
             raise refusals.unknown_service(head.method, head.path)
         seconds = min(
@@ -156,7 +156,7 @@
     def close_admission(self, admission: Admission) -> None:
         """Forget an admission unless its request still runs."""
         if admission.request_id not in self.lifecycles:
-            admission.holding.close()
+            admission.reservation.release()
             self.forget(admission.request_id)
 
     def forget(self, request_id: str) -> None:
@@ -175,7 +175,7 @@
         """
         lifecycle = self.new_lifecycle(admission, body, sink)
         try:
-            admission.holding.wait()
+            admission.reservation.enter_queue()
         except errors.QueueFullError as error:
             await lifecycle.end_refused(refusals.queue_full(error))
             return
@@ -230,7 +230,7 @@
             self.context,
             call=call,
             route=admission.route,
-            holding=admission.holding,
+            reservation=admission.reservation,
             sink=sink,
             record=record,
             idempotency_key=head.idempotency_key,
@@ -240,7 +240,7 @@
         """Forget a request; a failure that is not an outcome is logged and cuts the response."""
         lifecycle = self.lifecycles.pop(request_id)
         # A task that is cancelled before its first step never reaches its own clean-up.
-        lifecycle.holding.close()
+        lifecycle.reservation.release()
         self.forget(request_id)
         if not task.cancelled() and task.exception() is not None:
             logger.log(
--- a/src/masticward/coordination/ticket_submitter.py
+++ b/src/masticward/coordination/ticket_submitter.py
@@ -108,5 +108,5 @@
         window = self.windows.get((team, service))
         if window is None or self.exchange is None:
             return
-        for ticket_id in window.take_submittable():
+        for ticket_id in window.pop_submittable():
             self.exchange.submit(self.waiters[ticket_id].ticket)
--- a/src/masticward/coordination/version_keeper.py
+++ b/src/masticward/coordination/version_keeper.py
@@ -60,9 +60,9 @@
     def take(self, kind: masticward_pb2.FetchRequest.Kind, raw: bytes, source: str) -> None:
         """Take an encoded value if it is newer."""
         if kind == CONFIGURATION:
-            taken = self.versions.take_configuration(raw)
+            taken = self.versions.adopt_configuration(raw)
         else:
-            taken = self.versions.take_operations(raw)
+            taken = self.versions.adopt_operations(raw)
         if isinstance(taken, result.Failure):
             logger.log(events.Event.VERSION_REFUSED, source=source, reason=str(taken.failure()))
         elif taken.unwrap():
@@ -81,7 +81,7 @@
         self, configuration: configuration_models.Configuration, source: str
     ) -> None:
         """Take a configuration if it is newer."""
-        if self.versions.take_decoded(configuration):
+        if self.versions.adopt_decoded_configuration(configuration):
             self.note_taken(CONFIGURATION, source)
 
     def note_taken(self, kind: masticward_pb2.FetchRequest.Kind, source: str) -> None:
--- a/src/masticward/coordination/view.py
+++ b/src/masticward/coordination/view.py
@@ -143,7 +143,7 @@
 
     def announce_leaving(self) -> None:
         """Tell the peers from now on that this instance is leaving."""
-        self.membership.announce_own_leaving()
+        self.membership.mark_own_leaving()
         self.notify()
         for peer in self.exchanges.rotation.all_partners():
             self.exchanges.start(peer)
@@ -175,12 +175,12 @@
             instance = peers.as_instance(digest)
         except ValueError:
             return
-        member = self.membership.note_announcement(instance, digest.incarnation)
+        member = self.membership.record_announcement(instance, digest.incarnation)
         self.notify_members()
         if member is None:
             return
         self.note_versions(digest.config_version, digest.operations_version, digest.peer_address)
-        unknown = not member.listed and member.contact_at is None
+        unknown = not member.listed and member.last_contact_at is None
         if unknown or instance.id in self.exchanges.failures or member.suspected_at is not None:
             self.exchanges.start(instance)
 
@@ -232,7 +232,7 @@
         """Apply an instance list; only the time if there is no new one."""
         self.update_members(listed)
         # gRPC tries for ever to reach the address of a channel that is open but not connected.
-        known = {member.instance.peer_address for member in self.membership.known.values()}
+        known = {member.instance.peer_address for member in self.membership.records.values()}
         await self.channels.prune(known)
         await self.exchange_channels.prune(known)
 
--- a/src/masticward/models/objects.py
+++ b/src/masticward/models/objects.py
@@ -7,6 +7,6 @@
 OPERATIONS_AUDIT_PREFIX = "audit/ops/"
 
 
-def shard_name(content_hash: str) -> str:
+def team_shard_object_name(content_hash: str) -> str:
     """Return the name of a shard of teams."""
     return SHARD_PREFIX + content_hash
--- a/src/masticward/publishing/publisher.py
+++ b/src/masticward/publishing/publisher.py
@@ -108,7 +108,10 @@
     expected_version = 0
     while True:
         answer = await store.put(
-            objects.shard_name(name), content, expected_version, change.call_deadline(deadline)
+            objects.team_shard_object_name(name),
+            content,
+            expected_version,
+            change.call_deadline(deadline),
         )
         if isinstance(answer, result.Success):
             return result.Success(None)
--- a/src/masticward/publishing/retired_shards.py
+++ b/src/masticward/publishing/retired_shards.py
@@ -49,7 +49,7 @@
     async def is_gone(shard: configuration_models.RetiredShard) -> bool:
         async with limit:
             answer = await store.delete(
-                objects.shard_name(shard.name),
+                objects.team_shard_object_name(shard.name),
                 shard.stored_version,
                 change.call_deadline(deadline),
             )
@@ -73,8 +73,8 @@
         configuration_models.RetiredShard(
             name=name,
             version=manifest.version + 1,
-            stored_version=stored_versions[objects.shard_name(name)],
+            stored_version=stored_versions[objects.team_shard_object_name(name)],
         )
         for name in manifest.team_shards
-        if name not in next_shards and objects.shard_name(name) in stored_versions
+        if name not in next_shards and objects.team_shard_object_name(name) in stored_versions
     ]
--- a/src/masticward/state/claims.py
+++ b/src/masticward/state/claims.py
@@ -14,12 +14,12 @@
 
 SHARD_COUNT = 4096  # at two writes a call, the object API's write rate is used up before the space
 SHARD_LIMIT_BYTES = 1_000_000  # the object API takes values up to 1 MB
-INLINE_OUTCOME_BYTES = 16 * 1024
+INLINE_OUTCOME_LIMIT_BYTES = 16 * 1024
 OUTCOME_LIMIT_BYTES = 700_000  # with its headers it must stay below 1 MB
 FINISH_RESERVE_BYTES = 320  # room that a claim keeps for the reference to its outcome
-RETENTION_SECONDS = 24 * 3600.0
+FINISHED_RETENTION_SECONDS = 24 * 3600.0
 MAP_HEADER_BYTES = 5  # the largest one of MessagePack
-TEXT, DIGEST = b"\0", b"\1"  # the first byte of a packed digest
+TEXT_TAG, DIGEST_TAG = b"\0", b"\1"  # the first byte of a packed digest
 
 
 class ClaimState(enum.StrEnum):
@@ -100,13 +100,13 @@
 
     __slots__ = ("dirty", "pruned", "records", "size_bytes")
 
-    def __init__(self, records: dict[str, ClaimRecord], entries_bytes: int) -> None:
+    def __init__(self, records: dict[str, ClaimRecord], stored_size_bytes: int) -> None:
         self.records = records
         self.dirty = False
         self.pruned: list[ClaimRecord] = []
         unfinished = sum(record.state is ClaimState.CLAIMED for record in records.values())
         # An upper bound of the encoded size once every claim is finished.
-        self.size_bytes = MAP_HEADER_BYTES + entries_bytes + unfinished * FINISH_RESERVE_BYTES
+        self.size_bytes = MAP_HEADER_BYTES + stored_size_bytes + unfinished * FINISH_RESERVE_BYTES
 
     @classmethod
     def empty(cls) -> "ClaimShard":
@@ -119,12 +119,14 @@
         try:
             if is_json(value):
                 records = msgspec.json.decode(value, type=dict[str, ClaimRecord])
-                return cls(records, sum(encoded_bytes(*item) for item in records.items()))
+                return cls(records, sum(encoded_size_bytes(*item) for item in records.items()))
             stored = msgspec.msgpack.decode(value, type=dict[bytes, StoredRecord])
             records = {unpack_digest(key): unpack_record(record) for key, record in stored.items()}
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise errors.ClaimShardError(str(error)) from error
-        return cls(records, len(value) - len(msgspec.msgpack.encode({})) - header_growth(stored))
+        return cls(
+            records, len(value) - len(msgspec.msgpack.encode({})) - extra_map_header_bytes(stored)
+        )
 
     def encode(self) -> bytes:
         """Return the object's value."""
@@ -136,19 +138,19 @@
         """Give the key to the claim if no other holds it. ``now`` is wall clock seconds."""
         record = self.records.get(claim.key_digest)
         if record is not None:
-            return verdict_on(record, claim)
-        fresh = ClaimRecord(
+            return verdict_for(record, claim)
+        new_record = ClaimRecord(
             request_digest=claim.request_digest,
             nonce=claim.nonce,
             state=ClaimState.CLAIMED,
             changed_at=now,
         )
-        needed = entry_bytes(claim.key_digest, fresh)
+        needed = reserved_size_bytes(claim.key_digest, new_record)
         if self.size_bytes + needed > SHARD_LIMIT_BYTES:
             self.prune(now)
         if self.size_bytes + needed > SHARD_LIMIT_BYTES:
             return ClaimVerdict.SHARD_FULL
-        self.put(claim.key_digest, fresh)
+        self.put(claim.key_digest, new_record)
         return ClaimVerdict.GRANTED
 
     def finish(self, claim: Claim, finished: ClaimRecord) -> bool:
@@ -173,13 +175,13 @@
     def fits(self, claim: Claim, finished: ClaimRecord) -> bool:
         """Tell whether the finished record fits beside the other records."""
         record = self.records.get(claim.key_digest)
-        freed = entry_bytes(claim.key_digest, record) if record is not None else 0
-        needed = entry_bytes(claim.key_digest, finished)
+        freed = reserved_size_bytes(claim.key_digest, record) if record is not None else 0
+        needed = reserved_size_bytes(claim.key_digest, finished)
         return self.size_bytes - freed + needed <= SHARD_LIMIT_BYTES
 
     def prune(self, now: float) -> None:
         """Remove finished records older than the retention, never unfinished ones."""
-        oldest_kept = now - RETENTION_SECONDS
+        oldest_kept = now - FINISHED_RETENTION_SECONDS
         for key, record in list(self.records.items()):
             if record.state is ClaimState.FINISHED and record.changed_at < oldest_kept:
                 self.remove(key)
@@ -189,18 +191,18 @@
         """Add or replace a record."""
         self.remove(key)
         self.records[key] = record
-        self.size_bytes += entry_bytes(key, record)
+        self.size_bytes += reserved_size_bytes(key, record)
         self.dirty = True
 
     def remove(self, key: str) -> None:
         """Remove a record if there is one."""
         record = self.records.pop(key, None)
         if record is not None:
-            self.size_bytes -= entry_bytes(key, record)
+            self.size_bytes -= reserved_size_bytes(key, record)
             self.dirty = True
 
 
-def verdict_on(record: ClaimRecord, claim: Claim) -> ClaimVerdict:
+def verdict_for(record: ClaimRecord, claim: Claim) -> ClaimVerdict:
     """Return what an existing record means for a claim of its key."""
     if record.nonce == claim.nonce:
         return ClaimVerdict.GRANTED
@@ -211,20 +213,20 @@
     return ClaimVerdict.UNFINISHED
 
 
-def entry_bytes(key: str, record: ClaimRecord) -> int:
+def reserved_size_bytes(key: str, record: ClaimRecord) -> int:
     """Return the encoded size of a record with its key, plus what finishing it may add."""
     reserve = FINISH_RESERVE_BYTES if record.state is ClaimState.CLAIMED else 0
-    return encoded_bytes(key, record) + reserve
+    return encoded_size_bytes(key, record) + reserve
 
 
-def encoded_bytes(key: str, record: ClaimRecord) -> int:
+def encoded_size_bytes(key: str, record: ClaimRecord) -> int:
     """Return the encoded size of a record with its key."""
     return len(msgspec.msgpack.encode(pack_digest(key))) + len(
         msgspec.msgpack.encode(pack_record(record))
     )
 
 
-def header_growth(stored: dict[typing.Any, typing.Any]) -> int:
+def extra_map_header_bytes(stored: dict[typing.Any, typing.Any]) -> int:
     """Return by how much the header of a map is longer than that of an empty one."""
     if len(stored) < 16:
         return 0
@@ -241,14 +243,14 @@
     try:
         packed = bytes.fromhex(digest)
     except ValueError:
-        return TEXT + digest.encode()
-    return DIGEST + packed if packed.hex() == digest else TEXT + digest.encode()
+        return TEXT_TAG + digest.encode()
+    return DIGEST_TAG + packed if packed.hex() == digest else TEXT_TAG + digest.encode()
 
 
 def unpack_digest(packed: bytes) -> str:
     """Return the text of a packed digest."""
     content = packed[1:]
-    return content.hex() if packed.startswith(DIGEST) else content.decode()
+    return content.hex() if packed.startswith(DIGEST_TAG) else content.decode()
 
 
 def pack_outcome(outcome: RecordedOutcome) -> StoredOutcome:
@@ -287,7 +289,7 @@
     )
 
 
-def digest_of(*parts: bytes) -> str:
+def hash_parts(*parts: bytes) -> str:
     """Return the SHA-256 hex digest of parts whose borders count."""
     digest = hashlib.sha256()
     for part in parts:
@@ -298,22 +300,22 @@
 
 def key_digest(team: str, service: str, key: str) -> str:
     """Return the digest under which a team's key for a service is recorded."""
-    return digest_of(team.encode(), service.encode(), key.encode())
+    return hash_parts(team.encode(), service.encode(), key.encode())
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
     """Return the digest that tells whether a repeat carries the same request."""
-    return digest_of(method.encode(), path.encode(), body)
+    return hash_parts(method.encode(), path.encode(), body)
 
 
-def shard_name(digest: str) -> str:
+def claim_shard_object_name(digest: str) -> str:
     """Return the name of the object that holds a key."""
     return f"claims/{int(digest[:8], 16) % SHARD_COUNT:04x}"
 
 
-def outcome_name(claim: Claim) -> str:
+def outcome_object_name(claim: Claim) -> str:
     """Return the name of the object for a large outcome; each claim has its own."""
-    return f"outcomes/{digest_of(claim.key_digest.encode(), claim.nonce.encode())}"
+    return f"outcomes/{hash_parts(claim.key_digest.encode(), claim.nonce.encode())}"
 
 
 def encode_outcome(outcome: RecordedOutcome) -> bytes:
--- a/src/masticward/state/entry_queue.py
+++ b/src/masticward/state/entry_queue.py
@@ -8,51 +8,51 @@
 ENTRY_SCOPE = "entry"
 
 
-class TeamHoldings:
+class TeamReservations:
     """What one team holds: its waiting requests in order of arrival and the bytes of all bodies."""
 
-    __slots__ = ("body_bytes", "open_holdings", "waiting")
+    __slots__ = ("body_bytes", "open_reservations", "waiting")
 
     def __init__(self) -> None:
-        self.waiting: dict[str, Holding] = {}
+        self.waiting: dict[str, Reservation] = {}
         self.body_bytes = 0
-        self.open_holdings = 0
+        self.open_reservations = 0
 
 
-class Holding:
+class Reservation:
     """The part of the bounds that one request takes, from its head to its outcome."""
 
-    __slots__ = ("body_bytes", "closed", "queue", "request_id", "team")
+    __slots__ = ("body_bytes", "queue", "released", "request_id", "team")
 
     def __init__(self, queue: "EntryQueue", team: str, request_id: str) -> None:
         self.queue = queue
         self.team = team
         self.request_id = request_id
         self.body_bytes = 0
-        self.closed = False
+        self.released = False
 
-    def grow(self, size: int) -> None:
+    def reserve_bytes(self, size: int) -> None:
         """Take ``size`` more bytes. Raises QueueFullError."""
-        self.queue.grow(self, size)
+        self.queue.reserve_bytes(self, size)
 
-    def wait(self) -> None:
+    def enter_queue(self) -> None:
         """Count as a waiting request. Raises QueueFullError."""
-        self.queue.wait(self)
+        self.queue.enter_queue(self)
 
-    def wait_again(self) -> None:
+    def requeue(self) -> None:
         """Count as waiting after a refused attempt, without regard to the bounds.
 
         The request was admitted before, and the slots of the fleet bound how many come back.
         """
-        self.queue.count_waiting(self)
+        self.queue.add_waiting(self)
 
-    def stop_waiting(self) -> None:
+    def leave_queue(self) -> None:
         """Stop counting as a waiting request; the body still counts."""
-        self.queue.stop_waiting(self)
+        self.queue.leave_queue(self)
 
-    def close(self) -> None:
+    def release(self) -> None:
         """Give everything back; further calls do nothing."""
-        self.queue.close(self)
+        self.queue.release(self)
 
 
 class EntryQueue:
@@ -60,93 +60,97 @@
 
     When the entry as a whole is full, a request of a team that holds less than the largest team
     replaces the newest waiting request of that team, so that a few flooding teams cannot keep the
-    others out. ``evict`` is called with the id of the replaced request.
+    others out. ``on_evict`` is called with the id of the replaced request.
     """
 
-    __slots__ = ("body_bytes", "evict", "limits", "teams", "waiting")
+    __slots__ = ("body_bytes", "limits", "on_evict", "teams", "waiting")
 
     def __init__(
-        self, limits: settings.EntryLimits, evict: collections.abc.Callable[[str], None]
+        self, limits: settings.EntryLimits, on_evict: collections.abc.Callable[[str], None]
     ) -> None:
         self.limits = limits
-        self.evict = evict
-        self.teams: dict[str, TeamHoldings] = {}
+        self.on_evict = on_evict
+        self.teams: dict[str, TeamReservations] = {}
         self.waiting = 0
         self.body_bytes = 0
 
-    def open(self, team: str, request_id: str) -> Holding:
-        """Return the holding of a new request, with nothing in it."""
-        self.teams.setdefault(team, TeamHoldings()).open_holdings += 1
-        return Holding(self, team, request_id)
+    def open(self, team: str, request_id: str) -> Reservation:
+        """Return the reservation of a new request, with nothing in it."""
+        self.teams.setdefault(team, TeamReservations()).open_reservations += 1
+        return Reservation(self, team, request_id)
 
-    def grow(self, holding: Holding, size: int) -> None:
-        """Add bytes to a holding. Raises QueueFullError and then changes nothing."""
-        if holding.closed:
+    def reserve_bytes(self, reservation: Reservation, size: int) -> None:
+        """Add bytes to a reservation. Raises QueueFullError and then changes nothing."""
+        if reservation.released:
             raise errors.QueueFullError(ENTRY_SCOPE, "the request was replaced")
-        team = self.teams[holding.team]
+        team = self.teams[reservation.team]
         if team.body_bytes + size > self.limits.team_queue_bytes:
             raise errors.QueueFullError(
                 TEAM_SCOPE, f"the team holds {team.body_bytes} bytes of request bodies"
             )
         while self.body_bytes + size > self.limits.queue_bytes:
-            if not self.evict_for(team.body_bytes + size, by_bytes=True):
+            if not self.evict_from_largest_team(team.body_bytes + size, by_bytes=True):
                 raise errors.QueueFullError(
                     ENTRY_SCOPE, f"the entry holds {self.body_bytes} bytes of request bodies"
                 )
         team.body_bytes += size
         self.body_bytes += size
-        holding.body_bytes += size
+        reservation.body_bytes += size
 
-    def wait(self, holding: Holding) -> None:
+    def enter_queue(self, reservation: Reservation) -> None:
         """Count a request as waiting. Raises QueueFullError and then changes nothing."""
-        if holding.closed:
+        if reservation.released:
             raise errors.QueueFullError(ENTRY_SCOPE, "the request was replaced")
-        team = self.teams[holding.team]
+        team = self.teams[reservation.team]
         if len(team.waiting) >= self.limits.team_queue_requests:
             raise errors.QueueFullError(
                 TEAM_SCOPE, f"the team has {len(team.waiting)} requests waiting"
             )
-        if self.waiting >= self.limits.queue_requests and not self.evict_for(
+        if self.waiting >= self.limits.queue_requests and not self.evict_from_largest_team(
             len(team.waiting) + 1, by_bytes=False
         ):
             raise errors.QueueFullError(
                 ENTRY_SCOPE, f"the entry has {self.waiting} requests waiting"
             )
-        self.count_waiting(holding)
+        self.add_waiting(reservation)
 
-    def count_waiting(self, holding: Holding) -> None:
+    def add_waiting(self, reservation: Reservation) -> None:
         """Count a request as waiting, once."""
-        team = self.teams.get(holding.team)
-        if not holding.closed and team is not None and holding.request_id not in team.waiting:
-            team.waiting[holding.request_id] = holding
+        team = self.teams.get(reservation.team)
+        if (
+            not reservation.released
+            and team is not None
+            and reservation.request_id not in team.waiting
+        ):
+            team.waiting[reservation.request_id] = reservation
             self.waiting += 1
 
-    def stop_waiting(self, holding: Holding) -> None:
+    def leave_queue(self, reservation: Reservation) -> None:
         """Stop counting a request as waiting."""
-        team = self.teams.get(holding.team)
-        if team is not None and team.waiting.pop(holding.request_id, None) is not None:
+        team = self.teams.get(reservation.team)
+        if team is not None and team.waiting.pop(reservation.request_id, None) is not None:
             self.waiting -= 1
 
-    def close(self, holding: Holding) -> None:
-        """Give back what a holding takes, once."""
-        if holding.closed:
+    def release(self, reservation: Reservation) -> None:
+        """Give back what a reservation takes, once."""
+        if reservation.released:
             return
-        self.stop_waiting(holding)
-        holding.closed = True
-        team = self.teams[holding.team]
-        team.body_bytes -= holding.body_bytes
-        self.body_bytes -= holding.body_bytes
-        team.open_holdings -= 1
-        if team.open_holdings == 0:
-            del self.teams[holding.team]
-
-    def evict_for(self, size_after: int, *, by_bytes: bool) -> bool:
+        self.leave_queue(reservation)
+        reservation.released = True
+        team = self.teams[reservation.team]
+        team.body_bytes -= reservation.body_bytes
+        self.body_bytes -= reservation.body_bytes
+        team.open_reservations -= 1
+        if team.open_reservations == 0:
+            del self.teams[reservation.team]
+
+    def evict_from_largest_team(self, size_after: int, *, by_bytes: bool) -> bool:
         """Evict the newest waiting request of the largest team if that team stays the larger one.
 
         ``size_after`` is what the arriving team would hold, in requests or in bytes.
         """
 
-        def size_of(team: TeamHoldings) -> int:
+        def size_of(team: TeamReservations) -> int:
             return team.body_bytes if by_bytes else len(team.waiting)
 
         candidates = [team for team in self.teams.values() if team.waiting]
@@ -156,6 +160,6 @@
         if size_of(largest) <= size_after:
             return False
         victim = next(reversed(largest.waiting.values()))
-        self.close(victim)
-        self.evict(victim.request_id)
+        self.release(victim)
+        self.on_evict(victim.request_id)
         return True
--- a/src/masticward/state/route_table.py
+++ b/src/masticward/state/route_table.py
@@ -11,16 +11,16 @@
 class RouteTable:
     """Indexes of one configuration version."""
 
-    __slots__ = ("exact", "teams", "version", "wildcard")
+    __slots__ = ("exact_routes", "teams_by_digest", "version", "wildcard_routes")
 
     def __init__(self, configuration: configuration_models.Configuration) -> None:
         self.version = configuration.version
-        self.teams: dict[str, tuple[str, str]] = {}
-        self.exact: dict[tuple[str, str], Route] = {}
-        self.wildcard: dict[tuple[str, str], Route] = {}
+        self.teams_by_digest: dict[str, tuple[str, str]] = {}
+        self.exact_routes: dict[tuple[str, str], Route] = {}
+        self.wildcard_routes: dict[tuple[str, str], Route] = {}
         for team in configuration.teams:
             for digest in team.credential_digests:
-                self.teams[digest.lower()] = (digest.lower(), team.name)
+                self.teams_by_digest[digest.lower()] = (digest.lower(), team.name)
         for service in configuration.services:
             for operation in service.operations:
                 self.add_operation(service, operation)
@@ -32,24 +32,24 @@
         method = operation.method.upper()
         if operation.path.endswith(WILDCARD_SUFFIX):
             prefix = operation.path.removesuffix(WILDCARD_SUFFIX)
-            self.wildcard.setdefault((method, prefix), Route(service, operation))
+            self.wildcard_routes.setdefault((method, prefix), Route(service, operation))
         else:
-            self.exact.setdefault((method, operation.path), Route(service, operation))
+            self.exact_routes.setdefault((method, operation.path), Route(service, operation))
 
-    def team_of(self, credential: str) -> str | None:
+    def team_for_credential(self, credential: str) -> str | None:
         """Return the name of the team that owns a credential."""
         digest = hashlib.sha256(credential.encode()).hexdigest()
-        stored, team = self.teams.get(digest, ("", ""))
+        stored, team = self.teams_by_digest.get(digest, ("", ""))
         # The index is by digest, so its timing depends on nothing a caller can choose to steer.
         return team if hmac.compare_digest(digest, stored) else None
 
-    def find(self, method: str, path: str) -> "Route | None":
+    def find_route(self, method: str, path: str) -> "Route | None":
         """Return the route for a method and a path without query; longest wildcard prefix wins."""
-        route = self.exact.get((method, path))
+        route = self.exact_routes.get((method, path))
         prefix = path
         while route is None and "/" in prefix:
             prefix = prefix.rpartition("/")[0]
-            route = self.wildcard.get((method, prefix))
+            route = self.wildcard_routes.get((method, prefix))
         return route
 
 
--- a/src/masticward/state/shards.py
+++ b/src/masticward/state/shards.py
@@ -9,7 +9,7 @@
 
 MAXIMUM_SHARD_BYTES = 512 * 1024
 # A change of one team rewrites one shard, so small shards keep the traffic of a change small.
-PREFERRED_SHARD_BYTES = 64 * 1024
+TARGET_SHARD_BYTES = 64 * 1024
 MAXIMUM_SHARDS = 4096
 HASH_HEX_DIGITS = 32
 
@@ -24,7 +24,7 @@
     while True:
         encoded = encode_buckets(teams, count)
         largest = max((len(content) for content in encoded), default=0)
-        if largest <= PREFERRED_SHARD_BYTES:
+        if largest <= TARGET_SHARD_BYTES:
             break
         if count >= MAXIMUM_SHARDS:
             if largest <= MAXIMUM_SHARD_BYTES:
--- a/src/masticward/state/ticket_window.py
+++ b/src/masticward/state/ticket_window.py
@@ -23,14 +23,14 @@
         if front:
             self.waiting.move_to_end(ticket_id, last=False)
 
-    def take_submittable(self) -> list[str]:
+    def pop_submittable(self) -> list[str]:
         """Return the tickets to submit now; they count as outstanding from here on."""
-        taken = []
+        submittable = []
         while self.waiting and len(self.outstanding) < self.limit:
             ticket_id, _ = self.waiting.popitem(last=False)
             self.outstanding.add(ticket_id)
-            taken.append(ticket_id)
-        return taken
+            submittable.append(ticket_id)
+        return submittable
 
     def remove(self, ticket_id: str) -> bool:
         """Remove a ticket; returns True if it was outstanding at the dispatcher."""
--- a/src/masticward/state/versions.py
+++ b/src/masticward/state/versions.py
@@ -41,21 +41,21 @@
             self.encoded_configuration = msgspec.json.encode(self.configuration)
         return self.encoded_configuration
 
-    def take_configuration(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
+    def adopt_configuration(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
         """Take an encoded configuration if it is newer; tells whether it was taken."""
         decoded = decode(raw, configuration_models.Configuration)
         if isinstance(decoded, result.Failure):
             return result.Failure(decoded.failure())
-        return result.Success(self.take_decoded(decoded.unwrap()))
+        return result.Success(self.adopt_decoded_configuration(decoded.unwrap()))
 
-    def take_decoded(self, value: configuration_models.Configuration) -> bool:
+    def adopt_decoded_configuration(self, value: configuration_models.Configuration) -> bool:
         """Take a decoded configuration if it is newer; tells whether it was taken."""
         if value.version <= self.config_version:
             return False
         self.configuration, self.encoded_configuration = value, b""
         return True
 
-    def take_operations(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
+    def adopt_operations(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
         """Take an encoded operations state if it is newer; tells whether it was taken."""
         decoded = decode(raw, configuration_models.OperationsState)
         if isinstance(decoded, result.Failure):
--- a/tests/functional/test_publishing.py
+++ b/tests/functional/test_publishing.py
@@ -300,7 +300,9 @@
         manifest = await self.manifest()
         self.assertEqual(versions, manifest.version)
         self.assertFalse({item.name for item in manifest.retired} & set(manifest.team_shards))
-        self.assertLessEqual({objects.shard_name(item) for item in manifest.team_shards}, names)
+        self.assertLessEqual(
+            {objects.team_shard_object_name(item) for item in manifest.team_shards}, names
+        )
         shard_objects = [name for name in names if name.startswith(objects.SHARD_PREFIX)]
         self.assertEqual(2, len(shard_objects), shard_objects)
 
@@ -311,7 +313,7 @@
         manifest = await self.manifest()
         self.assertEqual(1, len(manifest.retired))
         due = msgspec.structs.replace(manifest, version=first + retired_shards.KEPT_VERSIONS + 1)
-        name = objects.shard_name(manifest.retired[0].name)
+        name = objects.team_shard_object_name(manifest.retired[0].name)
         content = self.platform.objects.objects[name].value
         written = await publisher.write_shard(
             self.platform.store, manifest.retired[0].name, content, platforms.soon()
--- a/tests/functional/test_view.py
+++ b/tests/functional/test_view.py
@@ -138,7 +138,7 @@
         other = await self.platform.add(
             platforms.make_agent("a1"), object_api_url=platforms.UNREACHABLE_URL
         )
-        await platforms.wait_until(lambda: other.view.membership.known.keys() >= {"e1"}, "known")
+        await platforms.wait_until(lambda: other.view.membership.records.keys() >= {"e1"}, "known")
         await other.view.exchanges.exchange_with(entry.instance)
         self.assertEqual((0, 0), other.versions)
 
@@ -237,7 +237,8 @@
         entry = await self.platform.add(platforms.make_entry("e1"))
         agent = await self.platform.add(platforms.make_agent("a1"), gated=True)
         await platforms.wait_until(
-            lambda: entry.view.membership.known["a1"].contact_at is not None, "first exchange"
+            lambda: entry.view.membership.records["a1"].last_contact_at is not None,
+            "first exchange",
         )
         gate = agent.gate
         assert gate is not None
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -32,7 +32,7 @@
     """Return a shard that has no room for one more claim."""
     shard = claims_state.ClaimShard.empty()
     record = build_record(state, age_seconds)
-    size = claims_state.entry_bytes("k0000", record)
+    size = claims_state.reserved_size_bytes("k0000", record)
     for index in range((claims_state.SHARD_LIMIT_BYTES - 2) // size):
         shard.put(f"k{index:04}", record)
     filler = claims_state.SHARD_LIMIT_BYTES - shard.size_bytes - 400
@@ -74,7 +74,7 @@
             status=201, headers=(("a", "b"),), body=b"\xff\x00" * 200
         )
         fields = {"nonce": "entry-1/0123456789abcdef", "changed_at": 1796365622.123456}
-        digests = [claims_state.digest_of(b"%d" % n) for n in range(20)]
+        digests = [claims_state.hash_parts(b"%d" % n) for n in range(20)]
         records = {
             digests[0]: {"state": claims_state.ClaimState.CLAIMED},
             digests[1]: {"state": claims_state.ClaimState.FINISHED, "outcome": outcome},
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -14,8 +14,8 @@
 IDS = ("a1", "a2", "a3")
 ONE_ID = strategies.sampled_from(IDS)
 START = 100.0
-# Below FORGET_SECONDS, so the history need not say what the view may have forgotten.
-LONGEST_SECONDS = membership.FORGET_SECONDS - 15.0
+# Below RECORD_RETENTION_SECONDS, so the history need not say what the view may have forgotten.
+LONGEST_SECONDS = membership.RECORD_RETENTION_SECONDS - 15.0
 TIMES = strategies.sampled_from((0.1, 1.0, 4.0, 9.9, 10.0, 11.0))
 
 
@@ -60,7 +60,7 @@
     def answer_exchange(self, name: str, incarnation: int, leaving: bool, took: float) -> None:
         self.tick()
         known = max((number for number, _ in self.announcements[name]), default=0)
-        self.view.note_contact(
+        self.view.record_exchange(
             platforms.make_agent(name, leaving=leaving), incarnation, self.now - took, self.now
         )
         if incarnation < known:
@@ -141,5 +141,5 @@
         for number in range(5):
             view.apply_list([platforms.make_agent(f"a{number}")], 100.0 * number)
         view.apply_list([], 1000.0)
-        view.apply_list([], 1000.0 + membership.FORGET_SECONDS)
-        self.assertEqual({"own"}, set(view.known))
+        view.apply_list([], 1000.0 + membership.RECORD_RETENTION_SECONDS)
+        self.assertEqual({"own"}, set(view.records))
--- a/tests/unit/test_versions.py
+++ b/tests/unit/test_versions.py
@@ -25,7 +25,7 @@
     @hypothesis.stateful.rule(version=VERSIONS)
     def offer_configuration(self, version: int) -> None:
         value = msgspec.structs.replace(platforms.make_configuration(), version=version)
-        taken = self.store.take_configuration(msgspec.json.encode(value))
+        taken = self.store.adopt_configuration(msgspec.json.encode(value))
         if version <= 0:
             assert isinstance(taken, result.Failure)
             return
@@ -35,7 +35,7 @@
     @hypothesis.stateful.rule(version=VERSIONS)
     def offer_operations(self, version: int) -> None:
         value = configuration.OperationsState(version=version, zones_out=(f"zone-{version}",))
-        taken = self.store.take_operations(msgspec.json.encode(value))
+        taken = self.store.adopt_operations(msgspec.json.encode(value))
         if version <= 0:
             assert isinstance(taken, result.Failure)
             return
@@ -47,9 +47,9 @@
         whole = msgspec.json.encode(
             msgspec.structs.replace(platforms.make_configuration(), version=100)
         )
-        assert isinstance(self.store.take_configuration(whole[:cut]), result.Failure)
+        assert isinstance(self.store.adopt_configuration(whole[:cut]), result.Failure)
         assert isinstance(
-            self.store.take_operations(b'{"version": "100"}'[: cut + 1]), result.Failure
+            self.store.adopt_operations(b'{"version": "100"}'[: cut + 1]), result.Failure
         )
 
     @hypothesis.stateful.invariant()
