--- a/src/masticward/coordination/call_claim.py
+++ b/src/masticward/coordination/call_claim.py
@@ -49,7 +49,7 @@
         )
         if not isinstance(claimed, result.Success):
             raise refusals.claim_unavailable(claimed.failure())
-        answer: claims.ClaimAnswer = claimed.unwrap()
+        answer: claims.ClaimResult = claimed.unwrap()
         if answer.verdict is claims_state.ClaimVerdict.GRANTED:
             self.claim = answer.claim
             return None
--- a/src/masticward/coordination/claims.py
+++ b/src/masticward/coordination/claims.py
@@ -14,12 +14,12 @@
 from masticward.transport import object_api
 from masticward.utils import clocks, identifiers, tasks
 
-GROUP_COMMIT_SECONDS = 0.005
+GROUP_COMMIT_DELAY_SECONDS = 0.005
 CLAIM_SECONDS = 5.0  # longest wait for a claim; the call is refused after it
 CALL_SECONDS = 2.0  # one call of the object API
-CONFLICT_PAUSE_SECONDS = 0.02  # largest random pause after another entry changed the shard
-FIRST_BACK_OFF_SECONDS = 0.1
-LONGEST_BACK_OFF_SECONDS = 5.0
+MAXIMUM_CONFLICT_DELAY_SECONDS = 0.02  # largest random pause after another entry changed the shard
+INITIAL_BACKOFF_SECONDS = 0.1
+MAXIMUM_BACKOFF_SECONDS = 5.0
 RETRY_AFTER_MS = 1000
 # Finishes and releases kept while the object API is down. A dropped one leaves its key unfinished,
 # and repeats are then told that the outcome is unknown.
@@ -28,13 +28,13 @@
 
 # Shard values kept after a write of this entry. Larger ones are read again: a kept value costs
 # memory until its claims finish, and 256 of them take at most 4 MB.
-KNOWN_SHARDS = 256
-KNOWN_SHARD_BYTES = 16 * 1024
+MAXIMUM_CACHED_SHARDS = 256
+MAXIMUM_CACHED_SHARD_BYTES = 16 * 1024
 
 logger = logs.get_logger(__name__)
 
 
-class ClaimAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class ClaimResult(msgspec.Struct, frozen=True, kw_only=True):
     """The verdict on a claim, with the recorded outcome if the key is finished."""
 
     verdict: claims_state.ClaimVerdict
@@ -98,21 +98,21 @@
         "back_off",
         "background_bytes",
         "background_changes",
+        "cached_shards",
         "entry_id",
         "group",
-        "known",
         "postponed",
         "retry_task",
-        "shards",
+        "shard_queues",
         "store",
     )
 
     def __init__(self, store: object_api.ObjectStore, entry_id: str) -> None:
         self.store = store
         self.entry_id = entry_id
-        self.shards: dict[str, ShardQueue] = {}
+        self.shard_queues: dict[str, ShardQueue] = {}
         # What this entry wrote last to a shard, oldest first, as version and value.
-        self.known: dict[str, tuple[int, bytes]] = {}
+        self.cached_shards: dict[str, tuple[int, bytes]] = {}
         self.postponed: dict[str, list[Change]] = {}
         self.group = tasks.TaskGroup()
         self.retry_task: asyncio.Task[None] | None = None
@@ -122,7 +122,7 @@
 
     async def claim(
         self, team: str, service: str, key: str, request_digest: str, deadline: float
-    ) -> result.Result[ClaimAnswer, errors.ClaimUnavailableError]:
+    ) -> result.Result[ClaimResult, errors.ClaimUnavailableError]:
         """Claim a key until it is finished or released; ``deadline`` is in monotonic seconds.
 
         ClaimUnavailableError means that the call must be refused as not run; a claim that may
@@ -151,13 +151,13 @@
 
     async def answer(
         self, change: Change
-    ) -> result.Result[ClaimAnswer, errors.ClaimUnavailableError]:
+    ) -> result.Result[ClaimResult, errors.ClaimUnavailableError]:
         """Return the answer to a committed claim, reading a large outcome from its object."""
         if change.verdict is claims_state.ClaimVerdict.SHARD_FULL:
             logger.log(events.Event.CLAIM_SHARD_FULL, shard=shard_of(change.claim))
             return unavailable("the claims of this shard are full")
         if change.verdict is not claims_state.ClaimVerdict.FINISHED or change.record is None:
-            return result.Success(ClaimAnswer(verdict=change.verdict, claim=change.claim))
+            return result.Success(ClaimResult(verdict=change.verdict, claim=change.claim))
         outcome = change.record.outcome
         if change.record.outcome_object:
             read = await self.store.get(
@@ -170,7 +170,7 @@
             except errors.ClaimShardError as error:
                 return unavailable(f"the recorded outcome is unreadable: {error}")
         return result.Success(
-            ClaimAnswer(verdict=change.verdict, claim=change.claim, outcome=outcome)
+            ClaimResult(verdict=change.verdict, claim=change.claim, outcome=outcome)
         )
 
     def finish(
@@ -214,7 +214,7 @@
 
     def abandon(self, change: Change) -> None:
         """Release a claim whose caller no longer waits for it."""
-        shard = self.shards.get(shard_of(change.claim))
+        shard = self.shard_queues.get(shard_of(change.claim))
         if shard is not None and change in shard.changes:
             shard.changes.remove(change)
             if not change.uncertain:
@@ -252,10 +252,10 @@
 
     def open_shard(self, name: str) -> ShardQueue:
         """Return a shard's queue; its committing task is started if there is none."""
-        shard = self.shards.get(name)
+        shard = self.shard_queues.get(name)
         if shard is None:
             shard = ShardQueue(name)
-            self.shards[name] = shard
+            self.shard_queues[name] = shard
             shard.task = self.group.spawn(self.commit_all(shard), f"claims {name}")
         return shard
 
@@ -266,14 +266,14 @@
         """
         try:
             while True:
-                await asyncio.sleep(GROUP_COMMIT_SECONDS)
+                await asyncio.sleep(GROUP_COMMIT_DELAY_SECONDS)
                 changes = self.postponed.pop(shard.name, []) + shard.changes
                 shard.changes = []
                 await self.commit(shard, changes)
                 if not shard.changes:
                     return
         finally:
-            del self.shards[shard.name]
+            del self.shard_queues[shard.name]
 
     async def retry_postponed(self) -> None:
         """Commit postponed changes, one shard at a time.
@@ -300,13 +300,13 @@
                 return
             error = attempt.failure()
             if isinstance(error, errors.VersionConflictError):
-                await asyncio.sleep(random.uniform(0.0, CONFLICT_PAUSE_SECONDS))
+                await asyncio.sleep(random.uniform(0.0, MAXIMUM_CONFLICT_DELAY_SECONDS))
                 continue
             if isinstance(error, errors.StoreAnswerLostError):
                 logger.log(events.Event.CLAIM_WRITE_ANSWER_LOST, shard=shard.name)
                 for change in changes:
                     change.uncertain = True
-                await asyncio.sleep(random.uniform(0.0, CONFLICT_PAUSE_SECONDS))
+                await asyncio.sleep(random.uniform(0.0, MAXIMUM_CONFLICT_DELAY_SECONDS))
                 continue
             self.postpone(shard, changes, error)
             return
@@ -322,7 +322,7 @@
         After a lost answer the read shows whether the write took effect. If it did not, the same
         version is written again, so that a delayed first write meets a conflict.
         """
-        known = self.known.pop(shard.name, None)
+        known = self.cached_shards.pop(shard.name, None)
         if known is not None:
             version, value = known
             records = claims_state.ClaimShard.decode(value)
@@ -366,11 +366,11 @@
 
     def keep(self, name: str, version: int, value: bytes) -> None:
         """Keep a small shard's value for the next change of the same shard."""
-        if len(value) > KNOWN_SHARD_BYTES:
+        if len(value) > MAXIMUM_CACHED_SHARD_BYTES:
             return
-        self.known[name] = (version, value)
-        if len(self.known) > KNOWN_SHARDS:
-            del self.known[next(iter(self.known))]
+        self.cached_shards[name] = (version, value)
+        if len(self.cached_shards) > MAXIMUM_CACHED_SHARDS:
+            del self.cached_shards[next(iter(self.cached_shards))]
 
     async def read_shard(
         self, name: str
@@ -438,7 +438,7 @@
         """Fail the claims of a group and keep the other changes for later."""
         logger.log(events.Event.CLAIM_STORE_UNAVAILABLE, shard=shard.name, detail=str(error))
         self.back_off = min(
-            LONGEST_BACK_OFF_SECONDS, max(FIRST_BACK_OFF_SECONDS, self.back_off * 2)
+            MAXIMUM_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self.back_off * 2)
         )
         kept = [change for change in changes if change.kind is not ChangeKind.CLAIM]
         if kept:
--- a/src/masticward/coordination/entry_meters.py
+++ b/src/masticward/coordination/entry_metrics.py
@@ -10,10 +10,17 @@
 KNOWN_REASONS = frozenset(reason.value for reason in work.RefusalReason)
 
 
-class EntryMeters:
+class EntryMetrics:
     """The entry's counters, gauges and histograms."""
 
-    __slots__ = ("bytes_held", "held", "queue_length", "queue_seconds", "refusals", "requests")
+    __slots__ = (
+        "held_bytes",
+        "held_requests",
+        "queue_length",
+        "queue_seconds",
+        "refusals",
+        "requests",
+    )
 
     def __init__(self, process_metrics: metrics.ProcessMetrics) -> None:
         registry = process_metrics.registry
@@ -32,10 +39,10 @@
         self.queue_length = prometheus_client.Gauge(
             "masticward_entry_queue_requests", "Requests that wait for a slot.", registry=registry
         )
-        self.held = prometheus_client.Gauge(
+        self.held_requests = prometheus_client.Gauge(
             "masticward_entry_held_requests", "Requests that are not finished.", registry=registry
         )
-        self.bytes_held = prometheus_client.Gauge(
+        self.held_bytes = prometheus_client.Gauge(
             "masticward_entry_held_body_bytes", "Bytes of request bodies held.", registry=registry
         )
         self.queue_seconds = prometheus_client.Histogram(
--- a/src/masticward/coordination/request_context.py
+++ b/src/masticward/coordination/request_context.py
@@ -1,6 +1,6 @@
 """What all requests of one entry share."""
 
-from masticward.coordination import claims, entry_meters, fleet_view, ticket_submitter
+from masticward.coordination import claims, entry_metrics, fleet_view, ticket_submitter
 from masticward.protocol import attempt_client
 from masticward.state import retry_budget
 
@@ -13,7 +13,7 @@
         "budget",
         "claims",
         "entry_id",
-        "meters",
+        "metrics",
         "refusal_limit",
         "submitter",
         "view",
@@ -28,7 +28,7 @@
         claim_service: claims.ClaimService | None,
         submitter: ticket_submitter.TicketSubmitter,
         budget: retry_budget.RetryBudget,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         refusal_limit: int,
     ) -> None:
         self.entry_id = entry_id
@@ -37,5 +37,5 @@
         self.claims = claim_service
         self.submitter = submitter
         self.budget = budget
-        self.meters = meters
+        self.metrics = metrics
         self.refusal_limit = refusal_limit
--- a/src/masticward/coordination/request_lifecycle.py
+++ b/src/masticward/coordination/request_lifecycle.py
@@ -74,7 +74,7 @@
         self.reservation = reservation
         self.sink = sink
         self.idempotency_key = idempotency_key
-        self.trace = request_trace.RequestTrace(record, context.meters)
+        self.trace = request_trace.RequestTrace(record, context.metrics)
         self.claim = call_claim.CallClaim(context.claims)
         self.attempt: attempt_client.AttemptRequest | None = None
         self.eviction: errors.RequestRefusedError | None = None
--- a/src/masticward/coordination/request_trace.py
+++ b/src/masticward/coordination/request_trace.py
@@ -3,7 +3,7 @@
 import time
 
 from masticward import errors
-from masticward.coordination import entry_meters
+from masticward.coordination import entry_metrics
 from masticward.models import work
 from masticward.state import explain
 from masticward.utils import clocks
@@ -12,11 +12,11 @@
 class RequestTrace:
     """The trace of one request. ``arrived_at`` is in monotonic seconds."""
 
-    __slots__ = ("arrived_at", "meters", "record")
+    __slots__ = ("arrived_at", "metrics", "record")
 
-    def __init__(self, record: explain.RequestRecord, meters: entry_meters.EntryMeters) -> None:
+    def __init__(self, record: explain.RequestRecord, metrics: entry_metrics.EntryMetrics) -> None:
         self.record = record
-        self.meters = meters
+        self.metrics = metrics
         self.arrived_at = time.monotonic()
 
     def dispatched(self, assignment: work.Assignment, attempt_id: str, dispatcher_id: str) -> None:
@@ -24,7 +24,7 @@
         if not self.record.attempts:
             waited = time.monotonic() - self.arrived_at
             self.record.queue_ms = waited * clocks.MILLISECONDS_PER_SECOND
-            self.meters.queue_seconds.observe(waited)
+            self.metrics.queue_seconds.observe(waited)
         self.record.attempts.append(
             explain.AttemptRecord(
                 attempt_id=attempt_id,
@@ -40,7 +40,7 @@
 
     def refused(self, reason: str) -> None:
         """Note that an agent refused the last attempt."""
-        self.meters.count_refusal(reason)
+        self.metrics.count_refusal(reason)
         self.record.refusals.append(reason)
         self.record.attempts[-1].result = f"refused: {reason}"
 
@@ -58,4 +58,4 @@
         self.record.total_ms = total_seconds * clocks.MILLISECONDS_PER_SECOND
         if self.record.attempts and not self.record.attempts[-1].result:
             self.record.attempts[-1].result = outcome.value
-        self.meters.count_outcome(outcome, kind)
+        self.metrics.count_outcome(outcome, kind)
--- a/src/masticward/coordination/router.py
+++ b/src/masticward/coordination/router.py
@@ -5,13 +5,13 @@
 from masticward import errors, events, logs, metrics, settings
 from masticward.coordination import claims as claims_module
 from masticward.coordination import (
-    entry_meters,
+    entry_metrics,
     fleet_view,
     request_context,
     request_lifecycle,
     ticket_submitter,
+    tickets,
 )
-from masticward.coordination import tickets as tickets_module
 from masticward.models import work
 from masticward.protocol import attempt_client
 from masticward.state import entry_queue, explain, refusals, retry_budget, route_table
@@ -62,11 +62,11 @@
 class Router(request_gate.RequestGate):
     """Holds callers' requests until they have an outcome.
 
-    ``tickets`` must be set before the first request; its callback is ``on_assign``.
+    ``ticket_client`` must be set before the first request; its callback is ``on_assign``.
     """
 
     __slots__ = (
-        "admissions",
+        "admitted_ids",
         "claims",
         "context",
         "draining",
@@ -76,7 +76,7 @@
         "idle",
         "lifecycles",
         "limits",
-        "meters",
+        "metrics",
         "queue",
         "submitter",
         "table",
@@ -99,10 +99,10 @@
         self.queue = entry_queue.EntryQueue(limits, self.on_evict)
         self.submitter = ticket_submitter.TicketSubmitter(limits.tickets_per_team)
         self.explain_log = explain.ExplainLog(limits.explain_records)
-        self.meters = entry_meters.EntryMeters(process_metrics or metrics.ProcessMetrics())
-        self.meters.queue_length.set_function(lambda: self.queue.waiting)
-        self.meters.bytes_held.set_function(lambda: self.queue.body_bytes)
-        self.meters.held.set_function(lambda: len(self.admissions))
+        self.metrics = entry_metrics.EntryMetrics(process_metrics or metrics.ProcessMetrics())
+        self.metrics.queue_length.set_function(lambda: self.queue.waiting)
+        self.metrics.held_bytes.set_function(lambda: self.queue.body_bytes)
+        self.metrics.held_requests.set_function(lambda: len(self.admitted_ids))
         self.context = request_context.RequestContext(
             entry_id=entry_id,
             view=view,
@@ -110,24 +110,24 @@
             claim_service=claims,
             submitter=self.submitter,
             budget=retry_budget.RetryBudget(limits.retry_budget_ratio),
-            meters=self.meters,
+            metrics=self.metrics,
             refusal_limit=limits.refusals_per_request,
         )
         self.group = tasks.TaskGroup()
         self.lifecycles: dict[str, request_lifecycle.RequestLifecycle] = {}
-        self.admissions: set[str] = set()
+        self.admitted_ids: set[str] = set()
         self.idle = asyncio.Event()
         self.idle.set()
         self.draining = False
         self.table: route_table.RouteTable | None = None
 
     @property
-    def tickets(self) -> tickets_module.TicketClient | None:
+    def ticket_client(self) -> tickets.TicketClient | None:
         """The client that queues tickets at the dispatchers."""
         return self.submitter.ticket_client
 
-    @tickets.setter
-    def tickets(self, ticket_client: tickets_module.TicketClient) -> None:
+    @ticket_client.setter
+    def ticket_client(self, ticket_client: tickets.TicketClient) -> None:
         self.submitter.ticket_client = ticket_client
 
     def on_assign(self, assignment: work.Assignment) -> bool:
@@ -149,7 +149,7 @@
         )
         request_id = request_id or identifiers.new_identifier()
         admission = Admission(self, request_id, head, team, route, clocks.deadline_after(seconds))
-        self.admissions.add(request_id)
+        self.admitted_ids.add(request_id)
         self.idle.clear()
         return admission
 
@@ -161,8 +161,8 @@
 
     def forget(self, request_id: str) -> None:
         """Stop counting a request as held."""
-        self.admissions.discard(request_id)
-        if not self.admissions:
+        self.admitted_ids.discard(request_id)
+        if not self.admitted_ids:
             self.idle.set()
 
     async def serve(
@@ -266,15 +266,15 @@
 
     def count_refused(self, error: errors.RequestRefusedError) -> None:
         """Count a request that was refused before it was queued."""
-        self.meters.count_outcome(work.Outcome.NOT_RUN, error.kind)
+        self.metrics.count_outcome(work.Outcome.NOT_RUN, error.kind)
         logger.log(events.Event.REQUEST_REFUSED, kind=error.kind, detail=error.message)
 
     def begin_drain(self) -> None:
         """Ask callers to close their connections; requests are still accepted."""
         self.draining = True
-        logger.log(events.Event.ENTRY_DRAINING, held=len(self.admissions))
+        logger.log(events.Event.ENTRY_DRAINING, held=len(self.admitted_ids))
 
     async def drained(self) -> None:
         """Wait until no request is held, neither queued nor running nor being read."""
-        while self.admissions:
+        while self.admitted_ids:
             await self.idle.wait()
--- a/src/masticward/daemons/entry.py
+++ b/src/masticward/daemons/entry.py
@@ -45,7 +45,7 @@
         self.tickets = tickets.DispatcherTicketClient(
             self.view, self.channels, instance.id, self.incarnation, self.router.on_assign
         )
-        self.router.tickets = self.tickets
+        self.router.ticket_client = self.tickets
         self.http = entry_http.EntryHttpServer(
             self.router, self.settings.http_address, self.settings.limits
         )
@@ -94,7 +94,7 @@
     def request_figures(self) -> dict[str, typing.Any]:
         """Return how many requests and bytes this entry holds."""
         return {
-            "held": len(self.router.admissions),
+            "held": len(self.router.admitted_ids),
             "queued": self.router.queue.waiting,
             "body_bytes": self.router.queue.body_bytes,
             "draining": self.router.draining,
--- a/tests/functional/test_router_fuzz.py
+++ b/tests/functional/test_router_fuzz.py
@@ -57,7 +57,7 @@
 
 class RouterFuzzTest(unittest.IsolatedAsyncioTestCase):
     async def test_outcomes_are_true_and_nothing_stays_held(self) -> None:
-        with unittest.mock.patch.object(claims, "LONGEST_BACK_OFF_SECONDS", 0.01):
+        with unittest.mock.patch.object(claims, "MAXIMUM_BACKOFF_SECONDS", 0.01):
             rounds = []
             # A few rounds at once load the loop enough to reach the bounds of the queues.
             for first in range(0, ROUNDS, ROUNDS_AT_ONCE):
@@ -137,6 +137,6 @@
             router.submitter.windows,
         ):
             self.assertEqual({}, kept)
-        self.assertEqual({}, fixture.exchange.queued)
+        self.assertEqual({}, fixture.ticket_client.queued)
         for record in router.explain_log.newest(CALLS):
             self.assertNotEqual("", record.outcome)
--- a/tests/lib/entry_fakes.py
+++ b/tests/lib/entry_fakes.py
@@ -75,12 +75,12 @@
     return view
 
 
-class FakeExchange(tickets.TicketClient):
-    """Gives each ticket a slot at once while ``automatic``, else when told to."""
+class FakeTicketClient(tickets.TicketClient):
+    """Gives each ticket a slot at once while ``assign_at_once``, else when told to."""
 
     def __init__(self, target: router.Router) -> None:
         self.router = target
-        self.automatic = True
+        self.assign_at_once = True
         self.queued: dict[str, work.Ticket] = {}
         self.submitted: list[work.Ticket] = []
         self.withdrawn: list[str] = []
@@ -90,7 +90,7 @@
     def submit(self, ticket: work.Ticket) -> None:
         self.queued[ticket.id] = ticket
         self.submitted.append(ticket)
-        if self.automatic:
+        if self.assign_at_once:
             asyncio.get_running_loop().call_soon(self.assign, ticket.id)
 
     def assign(self, ticket_id: str, slot_seconds: float = 2.0) -> bool:
@@ -213,8 +213,8 @@
         self.attempts = ScriptedAttempts(*steps)
         self.limits = limits or settings.EntryLimits()
         self.router = router.Router(self.view, self.limits, "entry-1", self.attempts, claims)
-        self.exchange = FakeExchange(self.router)
-        self.router.tickets = self.exchange
+        self.ticket_client = FakeTicketClient(self.router)
+        self.router.ticket_client = self.ticket_client
 
     async def call(
         self,
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -114,12 +114,12 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    async def claim(self, key: str) -> result.Result[claims.ClaimAnswer, object]:
+    async def claim(self, key: str) -> result.Result[claims.ClaimResult, object]:
         return await self.service.claim("t", "s", key, "d", time.monotonic() + 10)
 
     async def test_concurrent_claims_share_one_write(self) -> None:
         claiming = []
-        with unittest.mock.patch.object(claims, "GROUP_COMMIT_SECONDS", 1.0):
+        with unittest.mock.patch.object(claims, "GROUP_COMMIT_DELAY_SECONDS", 1.0):
             for index in range(50):
                 claiming.append(asyncio.ensure_future(self.claim(f"k{index}")))
                 await asyncio.sleep(0)
@@ -173,7 +173,7 @@
             self.store.down = True
             for claim in held:
                 self.service.release(claim)
-            await entry_fakes.until(lambda: not self.service.shards)
+            await entry_fakes.until(lambda: not self.service.shard_queues)
             with unittest.mock.patch.object(self.store, "get", get):
                 await asyncio.sleep(0.5)
             self.assertLess(reads, 10)
@@ -212,15 +212,15 @@
         """Fails if every shard that was ever written stays in the entry's memory."""
         with (
             unittest.mock.patch.object(claims_state, "SHARD_COUNT", 4096),
-            unittest.mock.patch.object(claims, "KNOWN_SHARDS", 5),
-            unittest.mock.patch.object(claims, "KNOWN_SHARD_BYTES", 1000),
+            unittest.mock.patch.object(claims, "MAXIMUM_CACHED_SHARDS", 5),
+            unittest.mock.patch.object(claims, "MAXIMUM_CACHED_SHARD_BYTES", 1000),
         ):
             for index in range(20):
                 claim = (await self.claim(f"k{index}")).unwrap().claim
-            self.assertEqual(5, len(self.service.known))
+            self.assertEqual(5, len(self.service.cached_shards))
             outcome = claims_state.RecordedOutcome(status=200, headers=(), body=b"x" * 2000)
             await self.service.finish(claim, outcome)
-            self.assertEqual(4, len(self.service.known))
+            self.assertEqual(4, len(self.service.cached_shards))
 
 
 class KeyedRouterTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/unit/test_metrics_page.py
+++ b/tests/unit/test_metrics_page.py
@@ -5,7 +5,7 @@
 import unittest
 
 from masticward import metrics, settings
-from masticward.coordination import agent_metrics, dispatcher, entry_meters, view
+from masticward.coordination import agent_metrics, dispatcher, entry_metrics, view
 from masticward.daemons import gateway as gateway_daemon
 from masticward.daemons import meters
 from masticward.platform import headers
@@ -34,7 +34,7 @@
             instance_list.HttpInstanceList(platform.instance_list_url),
             watches=False,
         )
-        entry_meters.EntryMeters(process_metrics)
+        entry_metrics.EntryMetrics(process_metrics)
         agent_metrics.AgentMetrics(process_metrics)
         meters.register_view(process_metrics, fleet_view)
         meters.register_dispatcher(
--- a/tests/unit/test_router.py
+++ b/tests/unit/test_router.py
@@ -14,11 +14,11 @@
         fixture = entry_fakes.EntryFixture(entry_fakes.refuse(), entry_fakes.answer(b"ok"))
         sink = await fixture.call("/v1/book")
         self.assertEqual((200, b"ok", "complete"), (sink.status, sink.body, sink.outcome))
-        first, second = fixture.exchange.submitted
+        first, second = fixture.ticket_client.submitted
         self.assertNotEqual(first.id, second.id)
         self.assertEqual((False, True), (first.retried, second.retried))
         self.assertEqual(first.arrived_at, second.arrived_at)
-        self.assertEqual([False], [valid for _, valid in fixture.exchange.declined])
+        self.assertEqual([False], [valid for _, valid in fixture.ticket_client.declined])
         self.assertEqual(2, len({run.attempt_id for run in fixture.attempts.runs}))
 
     async def test_ends_not_run_after_the_refusal_limit(self) -> None:
@@ -54,11 +54,11 @@
             with self.subTest(reason):
                 fixture = entry_fakes.EntryFixture(entry_fakes.answer(b"ok"))
                 getattr(fixture.view, reason).add("agent-2")
-                fixture.exchange.agents = ["agent-2", "agent-1"]
+                fixture.ticket_client.agents = ["agent-2", "agent-1"]
                 sink = await fixture.call("/v1/book")
                 self.assertEqual("complete", sink.outcome)
                 self.assertEqual(["agent-1"], [run.slot.agent_id for run in fixture.attempts.runs])
-                self.assertEqual([False], [valid for _, valid in fixture.exchange.declined])
+                self.assertEqual([False], [valid for _, valid in fixture.ticket_client.declined])
 
     async def test_zone_out_refusal_fetches_the_agents_operations_state(self) -> None:
         """Fails if an entry that missed a change keeps sending to agents that are out."""
@@ -115,11 +115,11 @@
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
     async def test_deadline_in_the_queue_is_not_run_and_withdraws_the_ticket(self) -> None:
         fixture = entry_fakes.EntryFixture()
-        fixture.exchange.automatic = False
+        fixture.ticket_client.assign_at_once = False
         sink = await fixture.call("/v1/book", seconds=0.05)
         self.assertEqual((503, "not-run"), (sink.status, sink.outcome))
-        self.assertEqual([fixture.exchange.submitted[0].id], fixture.exchange.withdrawn)
-        self.assertFalse(fixture.exchange.assign(fixture.exchange.submitted[0].id))
+        self.assertEqual([fixture.ticket_client.submitted[0].id], fixture.ticket_client.withdrawn)
+        self.assertFalse(fixture.ticket_client.assign(fixture.ticket_client.submitted[0].id))
 
     async def test_deadline_in_flight_cancels_a_model_stream(self) -> None:
         gate = asyncio.Event()
@@ -180,30 +180,30 @@
         task.cancel()
         gate.set()
         await fixture.router.drained()
-        self.assertEqual(1, len(fixture.exchange.submitted))
+        self.assertEqual(1, len(fixture.ticket_client.submitted))
 
     async def test_waiting_ticket_is_withdrawn_for_both_kinds(self) -> None:
         for path in ("/v1/generate", "/v1/book"):
             fixture = entry_fakes.EntryFixture()
-            fixture.exchange.automatic = False
+            fixture.ticket_client.assign_at_once = False
             task = fixture.start(path)
-            await entry_fakes.until(lambda used=fixture: used.exchange.submitted)
+            await entry_fakes.until(lambda used=fixture: used.ticket_client.submitted)
             task.cancel()
             await fixture.router.drained()
-            self.assertEqual(1, len(fixture.exchange.withdrawn))
+            self.assertEqual(1, len(fixture.ticket_client.withdrawn))
             self.assertEqual(0, fixture.router.queue.body_bytes)
             self.assertEqual({}, fixture.router.queue.teams)
 
     async def test_slot_given_to_a_vanished_caller_is_declined_as_valid(self) -> None:
         fixture = entry_fakes.EntryFixture()
-        fixture.exchange.automatic = False
+        fixture.ticket_client.assign_at_once = False
         task = fixture.start("/v1/book")
-        await entry_fakes.until(lambda: fixture.exchange.submitted)
+        await entry_fakes.until(lambda: fixture.ticket_client.submitted)
         lifecycle = next(iter(fixture.router.lifecycles.values()))
-        fixture.exchange.assign(fixture.exchange.submitted[0].id)
+        fixture.ticket_client.assign(fixture.ticket_client.submitted[0].id)
         lifecycle.on_caller_gone()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual([True], [valid for _, valid in fixture.exchange.declined])
+        self.assertEqual([True], [valid for _, valid in fixture.ticket_client.declined])
         self.assertEqual([], fixture.attempts.runs)
 
 
@@ -218,9 +218,9 @@
     async def test_team_bounds_by_count_and_bytes(self) -> None:
         limits = settings.EntryLimits(team_queue_requests=2, team_queue_bytes=100)
         fixture = entry_fakes.EntryFixture(limits=limits)
-        fixture.exchange.automatic = False
+        fixture.ticket_client.assign_at_once = False
         waiting = [fixture.start(body=b"x" * 40) for _ in range(2)]
-        await entry_fakes.until(lambda: len(fixture.exchange.submitted) == 2)
+        await entry_fakes.until(lambda: len(fixture.ticket_client.submitted) == 2)
         status, body = await self.refusal_of(fixture.start(body=b"x"))
         self.assertEqual((429, True), (status, "team-queue-full" in body))
         self.assertEqual(
@@ -233,9 +233,9 @@
 
     async def test_flooding_team_does_not_keep_others_out_of_a_full_entry(self) -> None:
         fixture = entry_fakes.EntryFixture(limits=settings.EntryLimits(queue_requests=3))
-        fixture.exchange.automatic = False
+        fixture.ticket_client.assign_at_once = False
         flood = [fixture.start(team="mango") for _ in range(3)]
-        await entry_fakes.until(lambda: len(fixture.exchange.submitted) == 3)
+        await entry_fakes.until(lambda: len(fixture.ticket_client.submitted) == 3)
         small = fixture.start(team="papaya")
         status, body = await self.refusal_of(flood[2])
         self.assertEqual((429, True), (status, "team-queue-full" in body))
@@ -247,31 +247,31 @@
 
     async def test_outstanding_tickets_are_limited_and_the_rest_keeps_its_order(self) -> None:
         fixture = entry_fakes.EntryFixture(limits=settings.EntryLimits(tickets_per_team=2))
-        fixture.exchange.automatic = False
+        fixture.ticket_client.assign_at_once = False
         calls = [fixture.start(body=bytes([index])) for index in range(4)]
         await entry_fakes.until(lambda: len(fixture.router.submitter.waiters) == 4)
-        self.assertEqual(2, len(fixture.exchange.submitted))
+        self.assertEqual(2, len(fixture.ticket_client.submitted))
         for index in range(4):
-            fixture.exchange.assign(fixture.exchange.submitted[index].id)
+            fixture.ticket_client.assign(fixture.ticket_client.submitted[index].id)
             await calls[index]
         self.assertEqual([b"\0", b"\1", b"\2", b"\3"], [r.call.body for r in fixture.attempts.runs])
         self.assertEqual({}, fixture.router.submitter.windows)
-        self.assertEqual([], fixture.exchange.withdrawn)
+        self.assertEqual([], fixture.ticket_client.withdrawn)
 
 
 class DrainTest(unittest.IsolatedAsyncioTestCase):
     async def test_drain_waits_for_queued_and_running_requests(self) -> None:
         gate = asyncio.Event()
         fixture = entry_fakes.EntryFixture(entry_fakes.answer(b"ok", gate=gate))
-        fixture.exchange.automatic = False
+        fixture.ticket_client.assign_at_once = False
         running, queued = fixture.start(), fixture.start("/v1/book")
-        await entry_fakes.until(lambda: len(fixture.exchange.submitted) == 2)
-        fixture.exchange.assign(fixture.exchange.submitted[0].id)
+        await entry_fakes.until(lambda: len(fixture.ticket_client.submitted) == 2)
+        fixture.ticket_client.assign(fixture.ticket_client.submitted[0].id)
         fixture.router.begin_drain()
         drained = asyncio.ensure_future(fixture.router.drained())
         await asyncio.sleep(0.02)
         self.assertFalse(drained.done())
-        fixture.exchange.assign(fixture.exchange.submitted[1].id)
+        fixture.ticket_client.assign(fixture.ticket_client.submitted[1].id)
         gate.set()
         await drained
         self.assertEqual([b"ok", b"ok"], [(await running).body, (await queued).body])
