--- a/src/masticward/coordination/claims.py
+++ b/src/masticward/coordination/claims.py
@@ -1,4 +1,8 @@
-"""Claims of idempotency keys: group commit, lost answers, release and recorded outcomes."""
+"""Claims idempotency keys in the object store and records the outcomes of keyed calls.
+
+The keys are spread over shards, one object each. An entry commits the pending changes of a shard
+as a group, with one conditional write, and retries outcomes and releases in the background.
+"""
 
 import asyncio
 import enum
@@ -14,20 +18,24 @@
 from masticward.transport import object_api
 from masticward.utils import clocks, identifiers, tasks
 
-GROUP_COMMIT_DELAY_SECONDS = 0.005
-CLAIM_SECONDS = 5.0  # longest wait for a claim; the call is refused after it
-CALL_SECONDS = 2.0  # one call of the object API
-MAXIMUM_CONFLICT_DELAY_SECONDS = 0.02  # largest random pause after another entry changed the shard
+GROUP_COMMIT_DELAY_SECONDS = 0.005  # collects concurrent changes of a shard into one write
+CLAIM_TIMEOUT_SECONDS = 5.0  # a call whose claim takes longer is refused
+STORE_CALL_TIMEOUT_SECONDS = 2.0  # one request to the object API
+# Upper bound of the random delay before a write that conflicted with another entry, or whose answer
+# was lost, is tried again.
+MAXIMUM_CONFLICT_DELAY_SECONDS = 0.02
 INITIAL_BACKOFF_SECONDS = 0.1
 MAXIMUM_BACKOFF_SECONDS = 5.0
 RETRY_AFTER_MS = 1000
-# Finishes and releases kept while the object API is down. A dropped one leaves its key unfinished,
-# and repeats are then told that the outcome is unknown.
-BACKGROUND_CHANGES = 10_000
-BACKGROUND_BYTES = 16 * 1024 * 1024
-
-# Shard values kept after a write of this entry. Larger ones are read again: a kept value costs
-# memory until its claims finish, and 256 of them take at most 4 MB.
+# Bounds of the outcomes and releases that are retained while the object API is down. Beyond them a
+# change is dropped and its key stays unfinished: repeats of the call are answered with an unknown
+# outcome.
+MAXIMUM_BACKGROUND_CHANGES = 10_000
+MAXIMUM_BACKGROUND_BYTES = 16 * 1024 * 1024
+
+# Bounds of the cache of shard values that this entry wrote, which saves the read before the next
+# write of the same shard. A value occupies memory until its claims are finished, and 256 of them
+# occupy at most 4 MB; larger values are read again.
 MAXIMUM_CACHED_SHARDS = 256
 MAXIMUM_CACHED_SHARD_BYTES = 16 * 1024
 
@@ -35,7 +43,7 @@
 
 
 class ClaimResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The verdict on a claim, with the recorded outcome if the key is finished."""
+    """The verdict on a claim; ``outcome`` is the recorded one if the key is finished."""
 
     verdict: claims_state.ClaimVerdict
     claim: claims_state.Claim
@@ -43,26 +51,30 @@
 
 
 class ChangeKind(enum.Enum):
-    """What a pending change does to its record."""
+    """What a pending change does to the record of its key."""
 
     CLAIM = "claim"
     FINISH = "finish"
     RELEASE = "release"
 
 
-class Change:
-    """One pending change of a shard, with the future of whoever waits for it."""
+class PendingChange:
+    """A change of one key that has not been committed yet.
+
+    ``deadline`` is in monotonic seconds. ``done`` completes when the change is committed, fails or
+    is dropped.
+    """
 
     __slots__ = (
         "claim",
         "deadline",
         "done",
-        "finished",
+        "finished_record",
         "kind",
-        "record",
         "size_bytes",
-        "uncertain",
+        "stored_record",
         "verdict",
+        "write_uncertain",
     )
 
     def __init__(
@@ -72,32 +84,36 @@
         self.claim = claim
         self.deadline = deadline
         self.size_bytes = size_bytes
-        self.finished: claims_state.ClaimRecord | None = None
-        self.record: claims_state.ClaimRecord | None = None
+        self.finished_record: claims_state.ClaimRecord | None = None
+        self.stored_record: claims_state.ClaimRecord | None = None
         self.verdict = claims_state.ClaimVerdict.SHARD_FULL
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        # True once a write that includes this claim may have taken effect without an answer.
-        self.uncertain = False
+        # Set if a write with this claim got no answer and may have taken effect.
+        self.write_uncertain = False
 
 
 class ShardQueue:
-    """The pending changes of one shard and the task that commits them."""
+    """The pending changes of one shard, and the task that commits them."""
 
     __slots__ = ("changes", "name", "task")
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.changes: list[Change] = []
+        self.changes: list[PendingChange] = []
         self.task: asyncio.Task[None] | None = None
 
 
 class ClaimService:
-    """Claims, finishes and releases keys for one entry."""
+    """Claims keys for one entry, records the outcomes of their calls and releases them.
+
+    ``backoff_seconds`` is the delay before the next retry of postponed changes, 0 while the object
+    API works.
+    """
 
     __slots__ = (
-        "back_off",
         "background_bytes",
-        "background_changes",
+        "background_count",
+        "backoff_seconds",
         "cached_shards",
         "entry_id",
         "group",
@@ -111,13 +127,13 @@
         self.store = store
         self.entry_id = entry_id
         self.shard_queues: dict[str, ShardQueue] = {}
-        # What this entry wrote last to a shard, oldest first, as version and value.
+        # Version and value of the last write of this entry by shard name, oldest first.
         self.cached_shards: dict[str, tuple[int, bytes]] = {}
-        self.postponed: dict[str, list[Change]] = {}
+        self.postponed: dict[str, list[PendingChange]] = {}
         self.group = tasks.TaskGroup()
         self.retry_task: asyncio.Task[None] | None = None
-        self.back_off = 0.0
-        self.background_changes = 0
+        self.backoff_seconds = 0.0
+        self.background_count = 0
         self.background_bytes = 0
 
     async def claim(
@@ -125,50 +141,51 @@
     ) -> result.Result[ClaimResult, errors.ClaimUnavailableError]:
         """Claim a key until it is finished or released; ``deadline`` is in monotonic seconds.
 
-        ClaimUnavailableError means that the call must be refused as not run; a claim that may
-        have been written nevertheless is released in the background.
+        On ClaimUnavailableError the call must be refused as not run. If the claim may have been
+        written nevertheless, it is released in the background.
         """
         claim = claims_state.Claim(
             claims_state.key_digest(team, service, key),
             request_digest,
             f"{self.entry_id}/{identifiers.new_identifier()}",
         )
-        latest = min(deadline, clocks.deadline_after(CLAIM_SECONDS))
-        change = Change(ChangeKind.CLAIM, claim, latest)
+        claim_deadline = min(deadline, clocks.deadline_after(CLAIM_TIMEOUT_SECONDS))
+        change = PendingChange(ChangeKind.CLAIM, claim, claim_deadline)
         self.enqueue(change)
         try:
-            async with asyncio.timeout(clocks.remaining_seconds(latest)):
+            async with asyncio.timeout(clocks.remaining_seconds(claim_deadline)):
                 await asyncio.shield(change.done)
         except TimeoutError:
-            self.abandon(change)
-            return unavailable("the claim was not written in time")
+            self.cancel_claim(change)
+            return claim_unavailable("the claim was not written in time")
         except asyncio.CancelledError:
-            self.abandon(change)
+            self.cancel_claim(change)
             raise
         except errors.ClaimUnavailableError as error:
             return result.Failure(error)
-        return await self.answer(change)
+        return await self.build_result(change)
 
-    async def answer(
-        self, change: Change
+    async def build_result(
+        self, change: PendingChange
     ) -> result.Result[ClaimResult, errors.ClaimUnavailableError]:
-        """Return the answer to a committed claim, reading a large outcome from its object."""
+        """Return the result of a committed claim; a large outcome is read from its own object."""
         if change.verdict is claims_state.ClaimVerdict.SHARD_FULL:
-            logger.log(events.Event.CLAIM_SHARD_FULL, shard=shard_of(change.claim))
-            return unavailable("the claims of this shard are full")
-        if change.verdict is not claims_state.ClaimVerdict.FINISHED or change.record is None:
+            logger.log(events.Event.CLAIM_SHARD_FULL, shard=shard_name(change.claim))
+            return claim_unavailable("the claims of this shard are full")
+        if change.verdict is not claims_state.ClaimVerdict.FINISHED or change.stored_record is None:
             return result.Success(ClaimResult(verdict=change.verdict, claim=change.claim))
-        outcome = change.record.outcome
-        if change.record.outcome_object:
+        outcome = change.stored_record.outcome
+        if change.stored_record.outcome_object:
             read = await self.store.get(
-                change.record.outcome_object, clocks.deadline_after(CALL_SECONDS)
+                change.stored_record.outcome_object,
+                clocks.deadline_after(STORE_CALL_TIMEOUT_SECONDS),
             )
             if not isinstance(read, result.Success):
-                return unavailable("the recorded outcome cannot be read now")
+                return claim_unavailable("the recorded outcome cannot be read now")
             try:
                 outcome = claims_state.decode_outcome(read.unwrap().value)
             except errors.ClaimShardError as error:
-                return unavailable(f"the recorded outcome is unreadable: {error}")
+                return claim_unavailable(f"the recorded outcome is unreadable: {error}")
         return result.Success(
             ClaimResult(verdict=change.verdict, claim=change.claim, outcome=outcome)
         )
@@ -176,13 +193,14 @@
     def finish(
         self, claim: claims_state.Claim, outcome: claims_state.RecordedOutcome | None
     ) -> asyncio.Future[None]:
-        """Record the outcome of a call that was run; None if it is too large to be kept.
+        """Record the outcome of a call that was run, None if it is too large to be stored.
 
-        It is retried in the background. The future is done once it is recorded or dropped.
+        The write is retried in the background. Return a future that is done when the outcome is
+        recorded or dropped.
         """
         size = len(outcome.body) if outcome is not None else 0
-        change = Change(ChangeKind.FINISH, claim, float("inf"), size)
-        change.finished = claims_state.ClaimRecord(
+        change = PendingChange(ChangeKind.FINISH, claim, float("inf"), size)
+        change.finished_record = claims_state.ClaimRecord(
             request_digest=claim.request_digest,
             nonce=claim.nonce,
             state=claims_state.ClaimState.FINISHED,
@@ -193,17 +211,18 @@
         self.enqueue_background(change)
         return change.done
 
-    def release(self, claim: claims_state.Claim, *, uncertain: bool = False) -> None:
-        """Give up a claim whose call surely was not run; retried in the background.
+    def release(self, claim: claims_state.Claim, *, write_uncertain: bool = False) -> None:
+        """Release a claim whose call was certainly not run; retried in the background.
 
-        ``uncertain`` tells that a write of the claim may still take effect.
+        ``write_uncertain`` means that a write of the claim may still take effect. The shard is then
+        written even if it has no such claim, so that the late write meets a version conflict.
         """
-        change = Change(ChangeKind.RELEASE, claim, float("inf"))
-        change.uncertain = uncertain
+        change = PendingChange(ChangeKind.RELEASE, claim, float("inf"))
+        change.write_uncertain = write_uncertain
         self.enqueue_background(change)
 
     async def close(self, deadline: float) -> None:
-        """Wait for pending changes until a monotonic deadline, then drop the rest."""
+        """Wait for pending changes until ``deadline`` (monotonic seconds), then drop the rest."""
         while self.group.tasks and time.monotonic() < deadline:
             await asyncio.wait(
                 list(self.group.tasks),
@@ -212,160 +231,164 @@
             )
         await self.group.cancel()
 
-    def abandon(self, change: Change) -> None:
-        """Release a claim whose caller no longer waits for it."""
-        shard = self.shard_queues.get(shard_of(change.claim))
-        if shard is not None and change in shard.changes:
-            shard.changes.remove(change)
-            if not change.uncertain:
+    def cancel_claim(self, change: PendingChange) -> None:
+        """Withdraw a claim that its caller no longer waits for."""
+        queue = self.shard_queues.get(shard_name(change.claim))
+        if queue is not None and change in queue.changes:
+            queue.changes.remove(change)
+            if not change.write_uncertain:
                 return
         if change.done.done() and change.done.exception() is not None:
             return
-        # It is being written, or was: the release follows it in the same queue.
+        # The claim has been written or is being written. The release is queued behind it, so it is
+        # applied afterwards.
         change.deadline = 0.0
         change.done.cancel()
-        self.release(change.claim, uncertain=True)
+        self.release(change.claim, write_uncertain=True)
 
-    def enqueue_background(self, change: Change) -> None:
-        """Queue a change that is retried until it succeeds, within the bounds."""
+    def enqueue_background(self, change: PendingChange) -> None:
+        """Queue a change that is retried until it succeeds; drop it if too many are pending."""
         full = (
-            self.background_changes >= BACKGROUND_CHANGES
-            or self.background_bytes + change.size_bytes > BACKGROUND_BYTES
+            self.background_count >= MAXIMUM_BACKGROUND_CHANGES
+            or self.background_bytes + change.size_bytes > MAXIMUM_BACKGROUND_BYTES
         )
         if full:
             logger.log(events.Event.CLAIM_CHANGE_DROPPED, kind=change.kind.value)
             change.done.set_result(None)
             return
-        self.background_changes += 1
+        self.background_count += 1
         self.background_bytes += change.size_bytes
-        change.done.add_done_callback(lambda _: self.forget_background(change))
+        change.done.add_done_callback(lambda _: self.on_background_done(change))
         self.enqueue(change)
 
-    def forget_background(self, change: Change) -> None:
-        """Stop counting a finished background change."""
-        self.background_changes -= 1
+    def on_background_done(self, change: PendingChange) -> None:
+        """Stop counting a background change that was committed or dropped."""
+        self.background_count -= 1
         self.background_bytes -= change.size_bytes
 
-    def enqueue(self, change: Change) -> None:
-        """Add a change to its shard's queue."""
-        self.open_shard(shard_of(change.claim)).changes.append(change)
+    def enqueue(self, change: PendingChange) -> None:
+        """Add a change to the queue of its shard."""
+        self.get_or_create_queue(shard_name(change.claim)).changes.append(change)
 
-    def open_shard(self, name: str) -> ShardQueue:
-        """Return a shard's queue; its committing task is started if there is none."""
-        shard = self.shard_queues.get(name)
-        if shard is None:
-            shard = ShardQueue(name)
-            self.shard_queues[name] = shard
-            shard.task = self.group.spawn(self.commit_all(shard), f"claims {name}")
-        return shard
+    def get_or_create_queue(self, name: str) -> ShardQueue:
+        """Return the queue of a shard; create it and start its commit task if needed."""
+        queue = self.shard_queues.get(name)
+        if queue is None:
+            queue = ShardQueue(name)
+            self.shard_queues[name] = queue
+            queue.task = self.group.spawn(self.commit_queue(queue), f"claims {name}")
+        return queue
 
-    async def commit_all(self, shard: ShardQueue) -> None:
-        """Commit the changes of a shard in groups until none is left.
+    async def commit_queue(self, queue: ShardQueue) -> None:
+        """Commit the changes of a shard in groups until the queue is empty.
 
-        Postponed changes go first, so that a key is released before it is claimed again.
+        Postponed changes are applied first, so that a key is released before it is claimed again.
         """
         try:
             while True:
                 await asyncio.sleep(GROUP_COMMIT_DELAY_SECONDS)
-                changes = self.postponed.pop(shard.name, []) + shard.changes
-                shard.changes = []
-                await self.commit(shard, changes)
-                if not shard.changes:
+                changes = self.postponed.pop(queue.name, []) + queue.changes
+                queue.changes = []
+                await self.commit_group(queue, changes)
+                if not queue.changes:
                     return
         finally:
-            del self.shard_queues[shard.name]
+            del self.shard_queues[queue.name]
 
     async def retry_postponed(self) -> None:
         """Commit postponed changes, one shard at a time.
 
-        During an outage an entry thus makes one call for each back-off, however many shards wait.
+        During an outage an entry thus makes one attempt per backoff interval, regardless of the
+        number of shards with postponed changes.
         """
         while self.postponed:
-            await asyncio.sleep(self.back_off)
+            await asyncio.sleep(self.backoff_seconds)
             if self.postponed:
-                shard = self.open_shard(next(iter(self.postponed)))
-                if shard.task is not None:
-                    await asyncio.wait({shard.task})
+                queue = self.get_or_create_queue(next(iter(self.postponed)))
+                if queue.task is not None:
+                    await asyncio.wait({queue.task})
 
-    async def commit(self, shard: ShardQueue, changes: list[Change]) -> None:
-        """Apply a group of changes to the object until it is written or the store fails."""
+    async def commit_group(self, queue: ShardQueue, changes: list[PendingChange]) -> None:
+        """Commit a group of changes; retry conflicts and lost answers, postpone on other errors."""
         while True:
             changes = self.drop_expired(changes)
             if not changes:
                 return
-            attempt = await self.commit_once(shard, changes)
-            if isinstance(attempt, result.Success):
-                self.back_off = 0.0
-                settle(changes)
+            committed = await self.try_commit(queue, changes)
+            if isinstance(committed, result.Success):
+                self.backoff_seconds = 0.0
+                resolve(changes)
                 return
-            error = attempt.failure()
+            error = committed.failure()
             if isinstance(error, errors.VersionConflictError):
                 await asyncio.sleep(random.uniform(0.0, MAXIMUM_CONFLICT_DELAY_SECONDS))
                 continue
             if isinstance(error, errors.StoreAnswerLostError):
-                logger.log(events.Event.CLAIM_WRITE_ANSWER_LOST, shard=shard.name)
+                logger.log(events.Event.CLAIM_WRITE_ANSWER_LOST, shard=queue.name)
                 for change in changes:
-                    change.uncertain = True
+                    change.write_uncertain = True
                 await asyncio.sleep(random.uniform(0.0, MAXIMUM_CONFLICT_DELAY_SECONDS))
                 continue
-            self.postpone(shard, changes, error)
+            self.postpone(queue, changes, error)
             return
 
-    async def commit_once(
-        self, shard: ShardQueue, changes: list[Change]
+    async def try_commit(
+        self, queue: ShardQueue, changes: list[PendingChange]
     ) -> result.Result[None, errors.StoreError]:
-        """Apply the changes to the object and write it back if that changes anything.
+        """Apply the changes to the shard's object and write it if its content changes.
 
-        The value that this entry wrote last is used first. Only a conditional write that succeeds
-        proves that it was current, so in all other cases the object is read.
+        The cached value is tried first. Only a successful conditional write proves that it was
+        current; in all other cases the object is read.
 
-        After a lost answer the read shows whether the write took effect. If it did not, the same
-        version is written again, so that a delayed first write meets a conflict.
+        After a lost answer the read shows whether the write took effect. If it did not, the new
+        write expects the same version, so that the delayed first write meets a conflict.
         """
-        known = self.cached_shards.pop(shard.name, None)
-        if known is not None:
-            version, value = known
-            records = claims_state.ClaimShard.decode(value)
-            written = await self.write_changes(shard, changes, version, records)
+        cached = self.cached_shards.pop(queue.name, None)
+        if cached is not None:
+            version, value = cached
+            shard = claims_state.ClaimShard.decode(value)
+            written = await self.write_changes(queue, changes, version, shard)
             if isinstance(written, result.Success):
                 if written.unwrap():
                     return result.Success(None)
             elif not isinstance(written.failure(), errors.VersionConflictError):
                 return result.Failure(written.failure())
-        read = await self.read_shard(shard.name)
+        read = await self.read_shard(queue.name)
         if not isinstance(read, result.Success):
             return result.Failure(read.failure())
-        version, records = read.unwrap()
-        written = await self.write_changes(shard, changes, version, records)
+        version, shard = read.unwrap()
+        written = await self.write_changes(queue, changes, version, shard)
         return written.map(lambda _: None)
 
     async def write_changes(
         self,
-        shard: ShardQueue,
-        changes: list[Change],
+        queue: ShardQueue,
+        changes: list[PendingChange],
         version: int,
-        records: claims_state.ClaimShard,
+        shard: claims_state.ClaimShard,
     ) -> result.Result[bool, errors.StoreError]:
-        """Apply the changes to a version's content; True if they had to be written and were."""
+        """Apply the changes to ``shard``; Success(False) means that no write was necessary."""
         for change in changes:
-            stored = await self.apply(records, change)
+            stored = await self.apply_change(shard, change)
             if not isinstance(stored, result.Success):
                 return result.Failure(stored.failure())
-        fenced = any(change.uncertain and change.kind is ChangeKind.RELEASE for change in changes)
-        if not records.dirty and not fenced:
+        needs_fence = any(
+            change.write_uncertain and change.kind is ChangeKind.RELEASE for change in changes
+        )
+        if not shard.dirty and not needs_fence:
             return result.Success(False)
-        value = records.encode()
+        value = shard.encode()
         written = await self.store.put(
-            shard.name, value, version, clocks.deadline_after(CALL_SECONDS)
+            queue.name, value, version, clocks.deadline_after(STORE_CALL_TIMEOUT_SECONDS)
         )
         if not isinstance(written, result.Success):
             return result.Failure(written.failure())
-        self.keep(shard.name, written.unwrap(), value)
-        self.clean_up(records.pruned)
+        self.cache_shard(queue.name, written.unwrap(), value)
+        self.schedule_outcome_deletion(shard.pruned)
         return result.Success(True)
 
-    def keep(self, name: str, version: int, value: bytes) -> None:
-        """Keep a small shard's value for the next change of the same shard."""
+    def cache_shard(self, name: str, version: int, value: bytes) -> None:
+        """Cache the written value of a shard unless it is too large; evict the oldest one."""
         if len(value) > MAXIMUM_CACHED_SHARD_BYTES:
             return
         self.cached_shards[name] = (version, value)
@@ -375,8 +398,8 @@
     async def read_shard(
         self, name: str
     ) -> result.Result[tuple[int, claims_state.ClaimShard], errors.StoreError]:
-        """Return version and content of a shard; an object that does not exist is empty."""
-        read = await self.store.get(name, clocks.deadline_after(CALL_SECONDS))
+        """Return version and content of a shard: 0 and an empty shard if there is no object."""
+        read = await self.store.get(name, clocks.deadline_after(STORE_CALL_TIMEOUT_SECONDS))
         if isinstance(read, result.Success):
             stored = read.unwrap()
             try:
@@ -391,42 +414,45 @@
             return result.Success((0, claims_state.ClaimShard.empty()))
         return result.Failure(failure)
 
-    async def apply(
-        self, shard: claims_state.ClaimShard, change: Change
+    async def apply_change(
+        self, shard: claims_state.ClaimShard, change: PendingChange
     ) -> result.Result[None, errors.StoreError]:
-        """Apply one change to the records; a large outcome is stored in its object first."""
+        """Apply one change to the shard; a large outcome is first stored in its own object."""
         if change.kind is ChangeKind.CLAIM:
             change.verdict = shard.claim(change.claim, time.time())
-            change.record = shard.records.get(change.claim.key_digest)
+            change.stored_record = shard.records.get(change.claim.key_digest)
         elif change.kind is ChangeKind.RELEASE:
             shard.release(change.claim)
-        elif change.finished is not None:
-            if must_move_outcome(shard, change.claim, change.finished):
-                moved = await self.move_outcome(change.claim, change.finished)
+        elif change.finished_record is not None:
+            if needs_outcome_object(shard, change.claim, change.finished_record):
+                moved = await self.store_outcome(change.claim, change.finished_record)
                 if not isinstance(moved, result.Success):
                     return result.Failure(moved.failure())
-                change.finished = moved.unwrap()
-            shard.finish(change.claim, change.finished)
+                change.finished_record = moved.unwrap()
+            shard.finish(change.claim, change.finished_record)
         return result.Success(None)
 
-    async def move_outcome(
+    async def store_outcome(
         self, claim: claims_state.Claim, finished: claims_state.ClaimRecord
     ) -> result.Result[claims_state.ClaimRecord, errors.StoreError]:
-        """Write a large outcome to its object and return the record that refers to it."""
+        """Write a large outcome to its own object and return a record that refers to it."""
         outcome = typing.cast(claims_state.RecordedOutcome, finished.outcome)
         name = claims_state.outcome_object_name(claim)
         written = await self.store.put(
-            name, claims_state.encode_outcome(outcome), 0, clocks.deadline_after(CALL_SECONDS)
+            name,
+            claims_state.encode_outcome(outcome),
+            0,
+            clocks.deadline_after(STORE_CALL_TIMEOUT_SECONDS),
         )
-        # A conflict means that an earlier try was written: only this claim writes this object.
+        # Only this claim writes this object, so a conflict means that an earlier try succeeded.
         if not isinstance(written, result.Success) and not isinstance(
             written.failure(), errors.VersionConflictError
         ):
             return result.Failure(written.failure())
         return result.Success(msgspec.structs.replace(finished, outcome=None, outcome_object=name))
 
-    def drop_expired(self, changes: list[Change]) -> list[Change]:
-        """Return the changes that somebody still waits for."""
+    def drop_expired(self, changes: list[PendingChange]) -> list[PendingChange]:
+        """Return the changes without the claims whose deadline has passed."""
         now = time.monotonic()
         return [
             change
@@ -434,15 +460,17 @@
             if change.deadline > now or change.kind is not ChangeKind.CLAIM
         ]
 
-    def postpone(self, shard: ShardQueue, changes: list[Change], error: errors.StoreError) -> None:
-        """Fail the claims of a group and keep the other changes for later."""
-        logger.log(events.Event.CLAIM_STORE_UNAVAILABLE, shard=shard.name, detail=str(error))
-        self.back_off = min(
-            MAXIMUM_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self.back_off * 2)
+    def postpone(
+        self, queue: ShardQueue, changes: list[PendingChange], error: errors.StoreError
+    ) -> None:
+        """Fail the claims of a group and schedule its other changes for a retry."""
+        logger.log(events.Event.CLAIM_STORE_UNAVAILABLE, shard=queue.name, detail=str(error))
+        self.backoff_seconds = min(
+            MAXIMUM_BACKOFF_SECONDS, max(INITIAL_BACKOFF_SECONDS, self.backoff_seconds * 2)
         )
-        kept = [change for change in changes if change.kind is not ChangeKind.CLAIM]
-        if kept:
-            self.postponed.setdefault(shard.name, []).extend(kept)
+        background = [change for change in changes if change.kind is not ChangeKind.CLAIM]
+        if background:
+            self.postponed.setdefault(queue.name, []).extend(background)
             if self.retry_task is None or self.retry_task.done():
                 self.retry_task = self.group.spawn(self.retry_postponed(), "claims retry")
         for change in changes:
@@ -450,11 +478,11 @@
                 change.done.set_exception(
                     errors.ClaimUnavailableError("the object API is unavailable", RETRY_AFTER_MS)
                 )
-                if change.uncertain:
-                    self.release(change.claim, uncertain=True)
+                if change.write_uncertain:
+                    self.release(change.claim, write_uncertain=True)
 
-    def clean_up(self, pruned: list[claims_state.ClaimRecord]) -> None:
-        """Delete the outcome objects of pruned records in the background, once."""
+    def schedule_outcome_deletion(self, pruned: list[claims_state.ClaimRecord]) -> None:
+        """Delete the outcome objects of pruned records in the background, without retries."""
         if pruned:
             logger.log(events.Event.CLAIM_RECORDS_PRUNED, records=len(pruned))
         names = [record.outcome_object for record in pruned if record.outcome_object]
@@ -462,21 +490,21 @@
             self.group.spawn(self.delete_outcomes(names), "claims clean-up")
 
     async def delete_outcomes(self, names: list[str]) -> None:
-        """Delete outcome objects; one that cannot be deleted now stays as garbage."""
+        """Delete outcome objects; one that cannot be deleted now stays in the store for good."""
         for name in names:
-            read = await self.store.get(name, clocks.deadline_after(CALL_SECONDS))
+            read = await self.store.get(name, clocks.deadline_after(STORE_CALL_TIMEOUT_SECONDS))
             if isinstance(read, result.Success):
                 await self.store.delete(
-                    name, read.unwrap().version, clocks.deadline_after(CALL_SECONDS)
+                    name, read.unwrap().version, clocks.deadline_after(STORE_CALL_TIMEOUT_SECONDS)
                 )
 
 
-def must_move_outcome(
+def needs_outcome_object(
     shard: claims_state.ClaimShard,
     claim: claims_state.Claim,
     finished: claims_state.ClaimRecord,
 ) -> bool:
-    """Tell whether an outcome is too large for its record or for the shard."""
+    """Return whether an outcome is too large for its record or for the shard."""
     if finished.outcome is None:
         return False
     return len(finished.outcome.body) > claims_state.INLINE_OUTCOME_LIMIT_BYTES or not shard.fits(
@@ -484,18 +512,18 @@
     )
 
 
-def settle(changes: list[Change]) -> None:
-    """Tell everyone who waits for a committed change."""
+def resolve(changes: list[PendingChange]) -> None:
+    """Mark committed changes as done."""
     for change in changes:
         if not change.done.done():
             change.done.set_result(None)
 
 
-def shard_of(claim: claims_state.Claim) -> str:
-    """Return the name of the object that holds a claim's key."""
+def shard_name(claim: claims_state.Claim) -> str:
+    """Return the name of the shard object that stores the key of a claim."""
     return claims_state.claim_shard_object_name(claim.key_digest)
 
 
-def unavailable(detail: str) -> result.Result[typing.Any, errors.ClaimUnavailableError]:
-    """Return the failure of a claim that was not given."""
+def claim_unavailable(detail: str) -> result.Result[typing.Any, errors.ClaimUnavailableError]:
+    """Return the failure of a claim that may be tried again after RETRY_AFTER_MS."""
     return result.Failure(errors.ClaimUnavailableError(detail, RETRY_AFTER_MS))
--- a/src/masticward/coordination/entry_metrics.py
+++ b/src/masticward/coordination/entry_metrics.py
@@ -1,17 +1,17 @@
-"""Metrics of the entry. Label values are bounded: outcomes, statuses and refusal reasons."""
+"""Metrics of the entry. Label values are bounded: outcomes, error kinds and refusal reasons."""
 
 import prometheus_client
 
 from masticward import metrics
 from masticward.models import work
 
-QUEUE_SECONDS_BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0, 60.0, 300.0)
+QUEUE_BUCKETS_SECONDS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0, 60.0, 300.0)
 OTHER_REASON = "other"
-KNOWN_REASONS = frozenset(reason.value for reason in work.RefusalReason)
+REFUSAL_REASONS = frozenset(reason.value for reason in work.RefusalReason)
 
 
 class EntryMetrics:
-    """The entry's counters, gauges and histograms."""
+    """The metrics of one entry."""
 
     __slots__ = (
         "held_bytes",
@@ -48,14 +48,14 @@
         self.queue_seconds = prometheus_client.Histogram(
             "masticward_entry_queue_seconds",
             "Time from arrival to the first slot.",
-            buckets=QUEUE_SECONDS_BUCKETS,
+            buckets=QUEUE_BUCKETS_SECONDS,
             registry=registry,
         )
 
     def count_outcome(self, outcome: work.Outcome, kind: str) -> None:
-        """Count a finished request; ``kind`` is a refusal type or ``answered``."""
+        """Count a finished request; ``kind`` is the kind of the error or how the request ended."""
         self.requests.labels(outcome.value, kind).inc()
 
     def count_refusal(self, reason: str) -> None:
         """Count a refused attempt."""
-        self.refusals.labels(reason if reason in KNOWN_REASONS else OTHER_REASON).inc()
+        self.refusals.labels(reason if reason in REFUSAL_REASONS else OTHER_REASON).inc()
--- a/src/masticward/coordination/request_context.py
+++ b/src/masticward/coordination/request_context.py
@@ -1,4 +1,4 @@
-"""What all requests of one entry share."""
+"""Dependencies that all requests of an entry share."""
 
 from masticward.coordination import claims, entry_metrics, fleet_view, ticket_submitter
 from masticward.protocol import attempt_client
@@ -6,18 +6,23 @@
 
 
 class RequestContext:
-    """Clients, bounds and metrics of one entry; ``refusal_limit`` holds for each request."""
+    """Clients, limits and metrics of one entry.
+
+    ``attempts`` sends attempts to agents. ``budget`` limits the repeated attempts of all requests
+    together, ``refusal_limit`` the refused attempts of each. ``claim_service`` is None without
+    object API.
+    """
 
     __slots__ = (
         "attempts",
         "budget",
-        "claims",
+        "claim_service",
         "entry_id",
         "metrics",
         "refusal_limit",
         "submitter",
         "view",
-    )  # fmt: skip
+    )
 
     def __init__(
         self,
@@ -34,7 +39,7 @@
         self.entry_id = entry_id
         self.view = view
         self.attempts = attempts
-        self.claims = claim_service
+        self.claim_service = claim_service
         self.submitter = submitter
         self.budget = budget
         self.metrics = metrics
--- a/src/masticward/coordination/request_trace.py
+++ b/src/masticward/coordination/request_trace.py
@@ -1,4 +1,4 @@
-"""Writes what happens to one request into its explain record and the entry's metrics."""
+"""Records the progress of a request in its explain record and in the metrics of the entry."""
 
 import time
 
@@ -10,7 +10,7 @@
 
 
 class RequestTrace:
-    """The trace of one request. ``arrived_at`` is in monotonic seconds."""
+    """Records the attempts and the outcome of one request; ``arrived_at`` is monotonic seconds."""
 
     __slots__ = ("arrived_at", "metrics", "record")
 
@@ -19,12 +19,14 @@
         self.metrics = metrics
         self.arrived_at = time.monotonic()
 
-    def dispatched(self, assignment: work.Assignment, attempt_id: str, dispatcher_id: str) -> None:
-        """Add an attempt; the first one ends the request's time in the queue."""
+    def record_dispatch(
+        self, assignment: work.Assignment, attempt_id: str, dispatcher_id: str
+    ) -> None:
+        """Add an attempt; the first one ends the queueing time of the request."""
         if not self.record.attempts:
-            waited = time.monotonic() - self.arrived_at
-            self.record.queue_ms = waited * clocks.MILLISECONDS_PER_SECOND
-            self.metrics.queue_seconds.observe(waited)
+            waited_seconds = time.monotonic() - self.arrived_at
+            self.record.queue_ms = waited_seconds * clocks.MILLISECONDS_PER_SECOND
+            self.metrics.queue_seconds.observe(waited_seconds)
         self.record.attempts.append(
             explain.AttemptRecord(
                 attempt_id=attempt_id,
@@ -38,20 +40,20 @@
             )
         )
 
-    def refused(self, reason: str) -> None:
-        """Note that an agent refused the last attempt."""
+    def record_refusal(self, reason: str) -> None:
+        """Record that an agent refused the last attempt."""
         self.metrics.count_refusal(reason)
         self.record.refusals.append(reason)
         self.record.attempts[-1].result = f"refused: {reason}"
 
-    def failed(self, failure: errors.AttemptFailedError) -> str:
-        """Note that the last attempt failed, and return the id of its agent."""
+    def record_failure(self, failure: errors.AttemptFailedError) -> str:
+        """Record that the last attempt failed; return the id of its agent."""
         attempt = self.record.attempts[-1]
         attempt.result = f"failed: {failure}"
         return attempt.agent_id
 
-    def ended(self, outcome: work.Outcome, kind: str, detail: str = "") -> None:
-        """Note the request's outcome; ``kind`` is the type of the error or how it ended."""
+    def record_outcome(self, outcome: work.Outcome, kind: str, detail: str = "") -> None:
+        """Record the outcome; ``kind`` is the kind of the error or how the request ended."""
         self.record.outcome = outcome.value
         self.record.detail = detail or kind
         total_seconds = time.monotonic() - self.arrived_at
--- a/src/masticward/coordination/router.py
+++ b/src/masticward/coordination/router.py
@@ -1,10 +1,10 @@
-"""The entry's router: admission of requests, their lifecycles, drain."""
+"""Router of the entry: admits requests, runs their lifecycles and drains them at shutdown."""
 
 import asyncio
 
 from masticward import errors, events, logs, metrics, settings
-from masticward.coordination import claims as claims_module
 from masticward.coordination import (
+    claims,
     entry_metrics,
     fleet_view,
     request_context,
@@ -21,8 +21,8 @@
 logger = logs.get_logger(__name__)
 
 
-class Admission(request_gate.Admission):
-    """An accepted request with its part of the queue's bounds."""
+class RouterAdmission(request_gate.Admission):
+    """A request whose head was accepted, with its reservation in the entry's queue."""
 
     __slots__ = ("deadline", "head", "request_id", "reservation", "route", "router", "team")
 
@@ -44,42 +44,42 @@
         self.reservation = router.queue.open(team, request_id)
 
     def grow(self, size: int) -> None:
-        """Count bytes of the body before they are kept. Raises RequestRefusedError."""
+        """Reserve ``size`` bytes before they are added to the body. Raises RequestRefusedError."""
         try:
             self.reservation.reserve_bytes(size)
         except errors.QueueFullError as error:
             raise refusals.queue_full(error) from error
 
     async def serve(self, body: bytes, sink: response_sink.ResponseSink) -> None:
-        """Bring the request to its outcome."""
+        """Process the request; the sink then has the whole response."""
         await self.router.serve(self, body, sink)
 
     def close(self) -> None:
-        """Forget the admission; a request that still runs keeps its part of the bounds."""
+        """Remove the admission; a request that still runs keeps its reservation."""
         self.router.close_admission(self)
 
 
 class Router(request_gate.RequestGate):
-    """Holds callers' requests until they have an outcome.
+    """Holds the requests of callers until they have an outcome.
 
     ``ticket_client`` must be set before the first request; its callback is ``on_assign``.
     """
 
     __slots__ = (
         "admitted_ids",
-        "claims",
+        "claim_service",
         "context",
         "draining",
         "entry_id",
         "explain_log",
         "group",
-        "idle",
+        "idle_event",
         "lifecycles",
         "limits",
         "metrics",
         "queue",
+        "route_table",
         "submitter",
-        "table",
         "view",
     )
 
@@ -89,13 +89,13 @@
         limits: settings.EntryLimits,
         entry_id: str,
         attempts: attempt_client.AttemptClient,
-        claims: claims_module.ClaimService | None,
+        claim_service: claims.ClaimService | None,
         process_metrics: metrics.ProcessMetrics | None = None,
     ) -> None:
         self.view = view
         self.limits = limits
         self.entry_id = entry_id
-        self.claims = claims
+        self.claim_service = claim_service
         self.queue = entry_queue.EntryQueue(limits, self.on_evict)
         self.submitter = ticket_submitter.TicketSubmitter(limits.tickets_per_team)
         self.explain_log = explain.ExplainLog(limits.explain_records)
@@ -107,7 +107,7 @@
             entry_id=entry_id,
             view=view,
             attempts=attempts,
-            claim_service=claims,
+            claim_service=claim_service,
             submitter=self.submitter,
             budget=retry_budget.RetryBudget(limits.retry_budget_ratio),
             metrics=self.metrics,
@@ -116,14 +116,14 @@
         self.group = tasks.TaskGroup()
         self.lifecycles: dict[str, request_lifecycle.RequestLifecycle] = {}
         self.admitted_ids: set[str] = set()
-        self.idle = asyncio.Event()
-        self.idle.set()
+        self.idle_event = asyncio.Event()
+        self.idle_event.set()
         self.draining = False
-        self.table: route_table.RouteTable | None = None
+        self.route_table: route_table.RouteTable | None = None
 
     @property
     def ticket_client(self) -> tickets.TicketClient | None:
-        """The client that queues tickets at the dispatchers."""
+        """The client that queues tickets with the dispatchers."""
         return self.submitter.ticket_client
 
     @ticket_client.setter
@@ -131,12 +131,12 @@
         self.submitter.ticket_client = ticket_client
 
     def on_assign(self, assignment: work.Assignment) -> bool:
-        """Hand a slot to its request; returns False if the ticket no longer waits."""
+        """Assign a slot to its request; return False if the ticket is not waiting any more."""
         return self.submitter.on_assign(assignment)
 
-    def admit(self, head: request_gate.RequestHead, request_id: str = "") -> Admission:
-        """Authenticate the team and find the operation. Raises RequestRefusedError."""
-        table = self.current_table()
+    def admit(self, head: request_gate.RequestHead, request_id: str = "") -> RouterAdmission:
+        """Authenticate the team and resolve the operation. Raises RequestRefusedError."""
+        table = self.current_route_table()
         team = table.team_for_credential(head.credential)
         if team is None:
             raise refusals.unknown_team()
@@ -148,32 +148,34 @@
             self.limits.maximum_deadline_seconds,
         )
         request_id = request_id or identifiers.new_identifier()
-        admission = Admission(self, request_id, head, team, route, clocks.deadline_after(seconds))
+        admission = RouterAdmission(
+            self, request_id, head, team, route, clocks.deadline_after(seconds)
+        )
         self.admitted_ids.add(request_id)
-        self.idle.clear()
+        self.idle_event.clear()
         return admission
 
-    def close_admission(self, admission: Admission) -> None:
-        """Forget an admission unless its request still runs."""
+    def close_admission(self, admission: RouterAdmission) -> None:
+        """Remove an admission and its reservation unless its request still runs."""
         if admission.request_id not in self.lifecycles:
             admission.reservation.release()
-            self.forget(admission.request_id)
+            self.remove_admitted(admission.request_id)
 
-    def forget(self, request_id: str) -> None:
-        """Stop counting a request as held."""
+    def remove_admitted(self, request_id: str) -> None:
+        """Remove the id of a request that has ended."""
         self.admitted_ids.discard(request_id)
         if not self.admitted_ids:
-            self.idle.set()
+            self.idle_event.set()
 
     async def serve(
-        self, admission: Admission, body: bytes, sink: response_sink.ResponseSink
+        self, admission: RouterAdmission, body: bytes, sink: response_sink.ResponseSink
     ) -> None:
-        """Bring an admitted request to its outcome; the sink then has the whole response.
+        """Process an admitted request; the sink then has the whole response.
 
-        If the calling task is cancelled, the caller counts as gone. A plain call in flight then
-        runs to its end without it, as it does after the deadline.
+        Cancellation of the calling task means that the caller has disconnected. A plain call in
+        flight then runs to completion without it, as it does after the deadline.
         """
-        lifecycle = self.new_lifecycle(admission, body, sink)
+        lifecycle = self.create_lifecycle(admission, body, sink)
         try:
             admission.reservation.enter_queue()
         except errors.QueueFullError as error:
@@ -185,12 +187,12 @@
         lifecycle.task.add_done_callback(
             lambda task: self.on_lifecycle_ended(admission.request_id, task)
         )
-        await self.attend(lifecycle, lifecycle.task)
+        await self.wait_for_end(lifecycle, lifecycle.task)
 
-    async def attend(
+    async def wait_for_end(
         self, lifecycle: request_lifecycle.RequestLifecycle, task: asyncio.Task[None]
     ) -> None:
-        """Wait for the end of a request, the caller's deadline or the loss of the caller."""
+        """Wait for the end of a request; handle its deadline and the loss of the caller."""
         try:
             done, _ = await asyncio.wait(
                 {task}, timeout=clocks.remaining_seconds(lifecycle.call.deadline)
@@ -201,10 +203,10 @@
             lifecycle.on_caller_gone()
             raise
 
-    def new_lifecycle(
-        self, admission: Admission, body: bytes, sink: response_sink.ResponseSink
+    def create_lifecycle(
+        self, admission: RouterAdmission, body: bytes, sink: response_sink.ResponseSink
     ) -> request_lifecycle.RequestLifecycle:
-        """Return the lifecycle of an admitted request and start its record."""
+        """Return the lifecycle of an admitted request and add its explain record."""
         head = admission.head
         operation = admission.route.operation
         record = explain.RequestRecord(
@@ -237,11 +239,11 @@
         )
 
     def on_lifecycle_ended(self, request_id: str, task: asyncio.Task[None]) -> None:
-        """Forget a request; a failure that is not an outcome is logged and cuts the response."""
+        """Remove a request that has ended; log an unexpected error and abort the response."""
         lifecycle = self.lifecycles.pop(request_id)
-        # A task that is cancelled before its first step never reaches its own clean-up.
+        # A task that is cancelled before its first step does not run its own finally block.
         lifecycle.reservation.release()
-        self.forget(request_id)
+        self.remove_admitted(request_id)
         if not task.cancelled() and task.exception() is not None:
             logger.log(
                 events.Event.REQUEST_BROKEN, request_id=request_id, detail=repr(task.exception())
@@ -250,31 +252,31 @@
                 lifecycle.sink.abort()
 
     def on_evict(self, request_id: str) -> None:
-        """Refuse a waiting request that the queue replaced."""
+        """Refuse a waiting request that the queue evicted."""
         lifecycle = self.lifecycles.get(request_id)
         if lifecycle is not None:
             lifecycle.on_evicted()
 
-    def current_table(self) -> route_table.RouteTable:
-        """Return the indexes of the newest configuration. Raises RequestRefusedError."""
+    def current_route_table(self) -> route_table.RouteTable:
+        """Return the route table of the newest configuration. Raises RequestRefusedError."""
         configuration = self.view.configuration
         if configuration is None:
             raise refusals.no_configuration()
-        if self.table is None or self.table.version != configuration.version:
-            self.table = route_table.RouteTable(configuration)
-        return self.table
+        if self.route_table is None or self.route_table.version != configuration.version:
+            self.route_table = route_table.RouteTable(configuration)
+        return self.route_table
 
     def count_refused(self, error: errors.RequestRefusedError) -> None:
-        """Count a request that was refused before it was queued."""
+        """Count and log a request that was refused before it was queued."""
         self.metrics.count_outcome(work.Outcome.NOT_RUN, error.kind)
         logger.log(events.Event.REQUEST_REFUSED, kind=error.kind, detail=error.message)
 
     def begin_drain(self) -> None:
-        """Ask callers to close their connections; requests are still accepted."""
+        """Let responses ask callers to close their connections; requests are still accepted."""
         self.draining = True
         logger.log(events.Event.ENTRY_DRAINING, held=len(self.admitted_ids))
 
     async def drained(self) -> None:
-        """Wait until no request is held, neither queued nor running nor being read."""
+        """Wait until no request is being read, queued or running."""
         while self.admitted_ids:
-            await self.idle.wait()
+            await self.idle_event.wait()
