--- a/tests/lib/entry_fakes.py
+++ b/tests/lib/entry_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes around the router: view, ticket exchange, attempts and a caller's connection."""
+"""Fakes for tests of the router: fleet view, ticket client, attempt client and response sink."""
 
 import asyncio
 import collections.abc
@@ -20,7 +20,7 @@
 Step = collections.abc.Callable[[attempt_client.AttemptRequest], Events]
 
 
-def operation(name: str, path: str, idempotent: bool) -> configuration_models.Operation:
+def build_operation(name: str, path: str, idempotent: bool) -> configuration_models.Operation:
     return configuration_models.Operation(
         name=name, method="POST", path=path, idempotent=idempotent
     )
@@ -36,8 +36,8 @@
                 name="model",
                 kind=configuration_models.ServiceKind.LANGUAGE_MODEL,
                 operations=(
-                    operation("generate", "/v1/generate", True),
-                    operation("act", "/v1/act", False),
+                    build_operation("generate", "/v1/generate", True),
+                    build_operation("act", "/v1/act", False),
                 ),
                 **common,
             ),
@@ -45,8 +45,8 @@
                 name="booking",
                 kind=configuration_models.ServiceKind.PLAIN,
                 operations=(
-                    operation("book", "/v1/book", False),
-                    operation("look", "/v1/look/*", True),
+                    build_operation("book", "/v1/book", False),
+                    build_operation("look", "/v1/look/*", True),
                 ),
                 **common,
             ),
@@ -63,12 +63,14 @@
 
 
 def build_view() -> typing.Any:
-    """Return a view that knows the configuration; instances in ``out`` are out of service."""
+    """Return a fake fleet view; ``out_of_service`` and ``suspected`` are sets of instance ids."""
     view = unittest.mock.create_autospec(fleet_view.FleetView, instance=True)
     view.configuration = build_configuration()
     view.operations = configuration_models.OperationsState(version=1)
-    view.out = set()
-    view.is_out_of_service.side_effect = lambda instance_id, zone: instance_id in view.out
+    view.out_of_service = set()
+    view.is_out_of_service.side_effect = lambda instance_id, zone: (
+        instance_id in view.out_of_service
+    )
     view.is_leaving.return_value = False
     view.suspected = set()
     view.is_suspected.side_effect = lambda instance_id: instance_id in view.suspected
@@ -76,7 +78,10 @@
 
 
 class FakeTicketClient(tickets.TicketClient):
-    """Gives each ticket a slot at once while ``assign_at_once``, else when told to."""
+    """Assigns a slot to each ticket, at once with ``assign_at_once``, else by calls of ``assign``.
+
+    Slots are on the agents in ``agents``, in order, then on agent-1.
+    """
 
     def __init__(self, target: router.Router) -> None:
         self.router = target
@@ -104,9 +109,9 @@
             deadline=time.monotonic() + slot_seconds,
         )
         assignment = work.Assignment(ticket_id=ticket_id, slot=slot, virtual_time=3.0, queue_ms=1.0)
-        taken = self.router.on_assign(assignment)
+        assigned = self.router.on_assign(assignment)
         self.queued.pop(ticket_id, None)
-        return taken
+        return assigned
 
     def withdraw(self, ticket_id: str) -> None:
         self.withdrawn.append(ticket_id)
@@ -120,7 +125,7 @@
 
 
 class ScriptedAttempts(attempt_client.AttemptClient):
-    """Runs one scripted step for each attempt; the last step repeats."""
+    """Runs the next scripted step for each attempt; the last step is repeated."""
 
     def __init__(self, *steps: Step) -> None:
         self.steps = list(steps) or [answer()]
@@ -139,7 +144,10 @@
 
 
 def answer(*parts: bytes, gate: asyncio.Event | None = None, cut: bool = False) -> Step:
-    """Return a step that answers 200 with parts; with a gate it waits before the last part."""
+    """Return a step that answers 200 with ``parts``.
+
+    It waits for ``gate`` before the last part; with ``cut`` the attempt fails there.
+    """
 
     async def step(attempt: attempt_client.AttemptRequest) -> Events:
         yield frames.AttemptAccepted()
@@ -168,7 +176,7 @@
 
 
 class MemorySink(response_sink.ResponseSink):
-    """Keeps what a caller would have received."""
+    """Records the response that a caller would receive."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -201,7 +209,7 @@
 
 
 class EntryFixture:
-    """A router with fakes around it."""
+    """A router whose dependencies are fakes."""
 
     def __init__(
         self,
@@ -226,7 +234,7 @@
         seconds: float = 5.0,
         sink: MemorySink | None = None,
     ) -> MemorySink:
-        """Make one call and return its sink. Raises RequestRefusedError of the admission."""
+        """Make a call and return its sink. Raises RequestRefusedError if it is not admitted."""
         head = request_gate.RequestHead(
             method="POST",
             path=path,
--- a/tests/unit/test_router.py
+++ b/tests/unit/test_router.py
@@ -1,4 +1,8 @@
-"""Guards against false "not run" answers, double runs, lost callers and unbounded queues."""
+"""Tests of the router and the request lifecycle with fake agents and dispatchers.
+
+They fail if a call that may have run is answered with "not run", if a call runs more often than
+allowed, if a disconnected caller leaves work behind, or if a queue grows without a limit.
+"""
 
 import asyncio
 import unittest
@@ -9,8 +13,8 @@
 from tests.lib import entry_fakes
 
 
-class RefusalTest(unittest.IsolatedAsyncioTestCase):
-    async def test_refused_attempt_goes_back_to_the_queue_with_a_new_ticket(self) -> None:
+class AttemptRefusalTest(unittest.IsolatedAsyncioTestCase):
+    async def test_refused_attempt_is_requeued_with_a_new_ticket(self) -> None:
         fixture = entry_fakes.EntryFixture(entry_fakes.refuse(), entry_fakes.answer(b"ok"))
         sink = await fixture.call("/v1/book")
         self.assertEqual((200, b"ok", "complete"), (sink.status, sink.body, sink.outcome))
@@ -21,7 +25,7 @@
         self.assertEqual([False], [valid for _, valid in fixture.ticket_client.declined])
         self.assertEqual(2, len({run.attempt_id for run in fixture.attempts.runs}))
 
-    async def test_ends_not_run_after_the_refusal_limit(self) -> None:
+    async def test_call_is_not_run_after_the_refusal_limit(self) -> None:
         fixture = entry_fakes.EntryFixture(
             entry_fakes.refuse(), limits=settings.EntryLimits(refusals_per_request=3)
         )
@@ -29,7 +33,7 @@
         self.assertEqual((503, "not-run"), (sink.status, sink.outcome))
         self.assertEqual(3, len(fixture.attempts.runs))
 
-    async def test_retry_budget_stops_a_storm_of_refusals(self) -> None:
+    async def test_retry_budget_limits_repeated_attempts_of_all_requests(self) -> None:
         fixture = entry_fakes.EntryFixture(
             entry_fakes.refuse(), limits=settings.EntryLimits(retry_budget_ratio=0.0)
         )
@@ -38,7 +42,7 @@
         self.assertEqual({"not-run"}, {sink.outcome for sink in sinks})
         self.assertEqual(2 + 1 + 1, len(fixture.attempts.runs))
 
-    async def test_refusal_after_a_failed_start_is_not_called_not_run(self) -> None:
+    async def test_refusal_after_a_failed_attempt_is_answered_as_unknown(self) -> None:
         fixture = entry_fakes.EntryFixture(
             entry_fakes.answer(b"x", cut=True),
             entry_fakes.refuse(),
@@ -47,21 +51,21 @@
         sink = await fixture.call("/v1/look/a")
         self.assertEqual("unknown", sink.outcome)
 
-    async def test_slot_of_an_agent_that_must_not_be_used_is_declined(self) -> None:
-        """Fails if work goes to an agent that is out, or if one that only the dispatcher reaches
-        costs 2 s for each of its slots."""
-        for reason in ("out", "suspected"):
-            with self.subTest(reason):
+    async def test_slots_of_out_of_service_and_suspected_agents_are_declined(self) -> None:
+        """Fails if a call is sent to an agent that is out of service, or if each slot of an agent
+        that only the dispatcher can reach costs a time-out of 2 s."""
+        for agent_set in ("out_of_service", "suspected"):
+            with self.subTest(agent_set):
                 fixture = entry_fakes.EntryFixture(entry_fakes.answer(b"ok"))
-                getattr(fixture.view, reason).add("agent-2")
+                getattr(fixture.view, agent_set).add("agent-2")
                 fixture.ticket_client.agents = ["agent-2", "agent-1"]
                 sink = await fixture.call("/v1/book")
                 self.assertEqual("complete", sink.outcome)
                 self.assertEqual(["agent-1"], [run.slot.agent_id for run in fixture.attempts.runs])
                 self.assertEqual([False], [valid for _, valid in fixture.ticket_client.declined])
 
-    async def test_zone_out_refusal_fetches_the_agents_operations_state(self) -> None:
-        """Fails if an entry that missed a change keeps sending to agents that are out."""
+    async def test_zone_out_refusal_fetches_the_operations_state_of_the_agent(self) -> None:
+        """Fails if an entry that missed a change keeps calling agents that are out of service."""
         fixture = entry_fakes.EntryFixture(
             entry_fakes.refuse("zone-out"), entry_fakes.answer(b"ok")
         )
@@ -69,8 +73,8 @@
         version = fixture.view.configuration.version
         fixture.view.pull_newer_versions.assert_called_once_with(version, 2, "127.0.0.1:1")
 
-    async def test_call_whose_operation_was_changed_while_it_waited_is_not_run(self) -> None:
-        """Fails if such a call goes round the refusing agents until its deadline."""
+    async def test_call_is_not_run_if_its_operation_changes_while_it_waits(self) -> None:
+        """Fails if such a call is sent to refusing agents again and again until its deadline."""
         fixture = entry_fakes.EntryFixture(entry_fakes.refuse("older-configuration"))
         waiting = asyncio.ensure_future(fixture.call("/v1/book"))
         await asyncio.sleep(0)
@@ -84,7 +88,7 @@
         self.assertEqual(1, len(fixture.attempts.runs))
 
 
-class PossibleStartTest(unittest.IsolatedAsyncioTestCase):
+class FailedAttemptTest(unittest.IsolatedAsyncioTestCase):
     async def test_non_idempotent_call_is_never_sent_twice(self) -> None:
         fixture = entry_fakes.EntryFixture(
             entry_fakes.answer(b"x", cut=True), entry_fakes.answer(b"ok")
@@ -93,7 +97,7 @@
         self.assertEqual((502, "unknown"), (sink.status, sink.outcome))
         self.assertEqual(1, len(fixture.attempts.runs))
 
-    async def test_idempotent_call_is_sent_a_second_time_and_no_third(self) -> None:
+    async def test_idempotent_call_is_repeated_once_after_a_failure(self) -> None:
         cut = entry_fakes.answer(b"x", cut=True)
         fixture = entry_fakes.EntryFixture(cut, entry_fakes.answer(b"ok"))
         self.assertEqual(b"ok", (await fixture.call("/v1/look/a")).body)
@@ -102,7 +106,7 @@
         self.assertEqual((502, "unknown"), (sink.status, sink.outcome))
         self.assertEqual(2, len(fixture.attempts.runs))
 
-    async def test_stream_that_was_begun_is_cut_and_not_repeated(self) -> None:
+    async def test_started_stream_is_aborted_and_not_repeated(self) -> None:
         fixture = entry_fakes.EntryFixture(
             entry_fakes.answer(b"token", b"", cut=True), entry_fakes.answer(b"ok")
         )
@@ -113,7 +117,7 @@
 
 
 class DeadlineTest(unittest.IsolatedAsyncioTestCase):
-    async def test_deadline_in_the_queue_is_not_run_and_withdraws_the_ticket(self) -> None:
+    async def test_deadline_in_the_queue_refuses_the_call_and_withdraws_the_ticket(self) -> None:
         fixture = entry_fakes.EntryFixture()
         fixture.ticket_client.assign_at_once = False
         sink = await fixture.call("/v1/book", seconds=0.05)
@@ -128,7 +132,7 @@
         self.assertEqual((504, "unknown"), (sink.status, sink.outcome))
         self.assertEqual(1, fixture.attempts.closed)
 
-    async def test_deadline_in_flight_answers_but_does_not_cancel_a_plain_call(self) -> None:
+    async def test_deadline_in_flight_is_answered_without_cancelling_a_plain_call(self) -> None:
         gate = asyncio.Event()
         fixture = entry_fakes.EntryFixture(entry_fakes.answer(b"x", gate=gate))
         sink = await fixture.call("/v1/book", seconds=0.05)
@@ -138,8 +142,9 @@
         await fixture.router.drained()
         self.assertEqual(504, sink.status)
 
-    async def test_failure_after_the_deadline_does_not_cut_the_next_request(self) -> None:
-        """Fails if a plain call resets a connection that was answered before."""
+    async def test_failure_after_the_deadline_does_not_abort_the_connection(self) -> None:
+        """Fails if a plain call that was answered with 504 resets a connection which may already
+        serve the next request."""
         gate = asyncio.Event()
         fixture = entry_fakes.EntryFixture(entry_fakes.answer(b"x", gate=gate, cut=True))
         sink = await fixture.call("/v1/book", seconds=0.05)
@@ -148,8 +153,10 @@
         self.assertFalse(sink.cut)
 
 
-class VanishedCallerTest(unittest.IsolatedAsyncioTestCase):
-    async def vanish_in_flight(self, path: str) -> tuple[entry_fakes.EntryFixture, asyncio.Event]:
+class CallerDisconnectTest(unittest.IsolatedAsyncioTestCase):
+    async def disconnect_in_flight(
+        self, path: str
+    ) -> tuple[entry_fakes.EntryFixture, asyncio.Event]:
         gate = asyncio.Event()
         fixture = entry_fakes.EntryFixture(entry_fakes.answer(b"x", gate=gate))
         task = fixture.start(path)
@@ -160,19 +167,19 @@
         return fixture, gate
 
     async def test_model_attempt_is_cancelled(self) -> None:
-        fixture, _ = await self.vanish_in_flight("/v1/generate")
+        fixture, _ = await self.disconnect_in_flight("/v1/generate")
         self.assertEqual(1, fixture.attempts.closed)
         await fixture.router.drained()
 
-    async def test_plain_attempt_runs_to_its_end(self) -> None:
-        fixture, gate = await self.vanish_in_flight("/v1/book")
+    async def test_plain_attempt_runs_to_completion(self) -> None:
+        fixture, gate = await self.disconnect_in_flight("/v1/book")
         self.assertEqual(0, fixture.attempts.closed)
         gate.set()
         await fixture.router.drained()
         record = fixture.router.explain_log.newest(1)[0]
         self.assertEqual("complete", record.outcome)
 
-    async def test_plain_call_that_is_refused_later_is_not_queued_again(self) -> None:
+    async def test_plain_call_refused_after_the_disconnect_is_not_requeued(self) -> None:
         gate = asyncio.Event()
         fixture = entry_fakes.EntryFixture(entry_fakes.refuse(gate=gate))
         task = fixture.start("/v1/book")
@@ -182,7 +189,7 @@
         await fixture.router.drained()
         self.assertEqual(1, len(fixture.ticket_client.submitted))
 
-    async def test_waiting_ticket_is_withdrawn_for_both_kinds(self) -> None:
+    async def test_waiting_ticket_is_withdrawn_for_both_kinds_of_service(self) -> None:
         for path in ("/v1/generate", "/v1/book"):
             fixture = entry_fakes.EntryFixture()
             fixture.ticket_client.assign_at_once = False
@@ -194,7 +201,7 @@
             self.assertEqual(0, fixture.router.queue.body_bytes)
             self.assertEqual({}, fixture.router.queue.teams)
 
-    async def test_slot_given_to_a_vanished_caller_is_declined_as_valid(self) -> None:
+    async def test_slot_of_a_disconnected_caller_is_declined_as_valid(self) -> None:
         fixture = entry_fakes.EntryFixture()
         fixture.ticket_client.assign_at_once = False
         task = fixture.start("/v1/book")
@@ -207,7 +214,7 @@
         self.assertEqual([], fixture.attempts.runs)
 
 
-class BoundsTest(unittest.IsolatedAsyncioTestCase):
+class QueueLimitTest(unittest.IsolatedAsyncioTestCase):
     async def refusal_of(self, call: asyncio.Task[entry_fakes.MemorySink]) -> tuple[int, str]:
         try:
             sink = await call
@@ -215,7 +222,7 @@
             return error.status, error.kind
         return sink.status, sink.body.decode()
 
-    async def test_team_bounds_by_count_and_bytes(self) -> None:
+    async def test_team_queue_is_limited_by_count_and_bytes(self) -> None:
         limits = settings.EntryLimits(team_queue_requests=2, team_queue_bytes=100)
         fixture = entry_fakes.EntryFixture(limits=limits)
         fixture.ticket_client.assign_at_once = False
@@ -231,7 +238,7 @@
         await fixture.router.drained()
         self.assertEqual(0, fixture.router.queue.body_bytes)
 
-    async def test_flooding_team_does_not_keep_others_out_of_a_full_entry(self) -> None:
+    async def test_full_entry_evicts_from_the_largest_team_for_a_smaller_one(self) -> None:
         fixture = entry_fakes.EntryFixture(limits=settings.EntryLimits(queue_requests=3))
         fixture.ticket_client.assign_at_once = False
         flood = [fixture.start(team="mango") for _ in range(3)]
@@ -245,7 +252,7 @@
             task.cancel()
         await fixture.router.drained()
 
-    async def test_outstanding_tickets_are_limited_and_the_rest_keeps_its_order(self) -> None:
+    async def test_outstanding_tickets_are_limited_and_later_ones_keep_their_order(self) -> None:
         fixture = entry_fakes.EntryFixture(limits=settings.EntryLimits(tickets_per_team=2))
         fixture.ticket_client.assign_at_once = False
         calls = [fixture.start(body=bytes([index])) for index in range(4)]
@@ -278,7 +285,7 @@
 
 
 class AdmissionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_refusals_before_the_queue(self) -> None:
+    async def test_requests_that_cannot_be_routed_are_refused_before_the_queue(self) -> None:
         fixture = entry_fakes.EntryFixture()
         for team, path, status in (("who", "/v1/book", 401), ("mango", "/v1/none", 404)):
             with self.assertRaises(errors.RequestRefusedError) as caught:
