--- a/src/masticward/coordination/request_lifecycle.py
+++ b/src/masticward/coordination/request_lifecycle.py
@@ -20,7 +20,7 @@
 # How long the entry waits for the outcome of a plain call after the caller's deadline. The caller
 # is answered with 504 at the deadline; only the claim of the idempotency key needs the outcome.
 OUTCOME_GRACE_SECONDS = 30.0
-# Attempts of an idempotent call that may fail after they were sent; other calls are never repeated.
+# An idempotent call is given up after this many failed attempts, any other call after one.
 MAXIMUM_FAILED_ATTEMPTS = 2
 INITIAL_BACKOFF_SECONDS = 0.02
 MAXIMUM_BACKOFF_SECONDS = 0.5
