--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -1,4 +1,4 @@
-"""Assigns the slots of a service's agents to the tickets of its entries."""
+"""The dispatcher of a service: assigns agent slots to the tickets that entries queue."""
 
 import asyncio
 import collections
@@ -15,54 +15,58 @@
 from masticward.utils import tasks
 
 LOG = logs.get_logger(__name__)
-# An assignment needs time to reach the entry and the attempt to reach the agent.
-SLOT_MARGIN_SECONDS = 0.5
-# A dispatched ticket that its agent has not reported by then was never sent to it. Staged runs are
-# reported when they start, so this exceeds the longest wait in an agent's stage.
-UNSTARTED_GRACE_SECONDS = 3.0
-# After adopting a snapshot, entries need up to a session timeout to queue their tickets again.
+# Slots closer to their deadline are not assigned: the assignment still has to reach the entry, and
+# the attempt the agent, before the slot expires.
+SLOT_EXPIRY_MARGIN_SECONDS = 0.5
+# A dispatched ticket that its agent does not report within this time after the slot's deadline is
+# assumed never to have reached the agent. Agents report staged runs only once they start, so this
+# exceeds the longest time that a run is staged.
+START_REPORT_GRACE_SECONDS = 3.0
+# After a snapshot is adopted, entries need up to a session timeout to queue their tickets again.
 RESTORATION_SECONDS = 3.0
-TICK_SECONDS = 0.1
+TICK_INTERVAL_SECONDS = 0.1
 CANDIDATE_COUNT = 3
-UNKNOWN_MAXIMUM_COST = 10_000.0
+# Used while the configuration does not contain the service.
+DEFAULT_MAXIMUM_COST = 10_000.0
 
 
 class AgentSlots:
-    """The slots and dispatched tickets of one agent session."""
+    """The slots and dispatched tickets of one agent session. Deadlines are monotonic seconds."""
 
     __slots__ = (
         "assigned",
-        "counted",
+        "counted_free",
         "free",
+        "last_dispatch",
         "limit",
         "peer",
         "position",
         "reported_load",
         "tickets",
-        "turn",
     )
 
     def __init__(self, peer: dispatch_role.AgentPeer) -> None:
         self.peer = peer
-        # Pairs of deadline and slot id, the earliest deadline first.
+        # Pairs of deadline and slot id, earliest deadline first.
         self.free: collections.deque[tuple[float, int]] = collections.deque()
-        # Deadline and ticket of each assigned slot that has not expired.
+        # Deadline and ticket id of each assigned slot that has not expired, by slot id.
         self.assigned: dict[int, tuple[float, str]] = {}
         self.tickets: set[str] = set()
         self.limit = 1
         self.reported_load = 0
-        self.turn = 0
-        self.counted = 0
+        # Number of the latest dispatch to this agent. Between equal loads the lowest goes first.
+        self.last_dispatch = 0
+        self.counted_free = 0
         self.position: tuple[float, int, str] | None = None
 
     @property
     def load(self) -> float:
-        """Dispatched tickets as a share of the agent's limit."""
+        """The number of dispatched tickets as a fraction of the agent's admission limit."""
         return len(self.tickets) / self.limit
 
 
-class Dispatched:
-    """A ticket that was given a slot and has not finished."""
+class DispatchedTicket:
+    """A ticket that has been assigned a slot and has not finished."""
 
     __slots__ = ("agent", "entry", "slot_id", "start_deadline")
 
@@ -80,7 +84,11 @@
 
 
 class Dispatcher(dispatch_role.DispatchRole):
-    """The dispatcher of one service. It holds soft state only and never blocks."""
+    """The dispatcher of one service.
+
+    All state is in memory and is rebuilt from sessions and snapshots after a failover. Calls from
+    sessions never block.
+    """
 
     def __init__(
         self,
@@ -96,84 +104,84 @@
         self.entries: dict[str, dispatch_role.EntryPeer] = {}
         self.ticket_entries: dict[str, dispatch_role.EntryPeer] = {}
         self.agents: dict[str, AgentSlots] = {}
-        self.order: sortedcontainers.SortedList = sortedcontainers.SortedList()
-        self.eligible: frozenset[str] = frozenset()
-        self.dispatched: dict[str, Dispatched] = {}
-        self.unstarted: dict[str, Dispatched] = {}
-        self.served: collections.Counter[str] = collections.Counter()
-        self.turn = 0
+        self.agent_order: sortedcontainers.SortedList = sortedcontainers.SortedList()
+        self.available: frozenset[str] = frozenset()
+        self.dispatched: dict[str, DispatchedTicket] = {}
+        self.unstarted: dict[str, DispatchedTicket] = {}
+        self.dispatched_by_team: collections.Counter[str] = collections.Counter()
+        self.dispatch_total = 0
         self.restoration_deadline = 0.0
-        self.snapshot_basis: tuple[float, int] = (0.0, 0)
+        self.snapshot_state: tuple[float, int] = (0.0, 0)
         self.expired_tickets = 0
         self.declined_slots = 0
-        self.free_total = 0
+        self.free_slot_count = 0
         self.configuration = view.configuration
         self.background = tasks.TaskGroup()
-        view.subscribe(self.follow_view)
-        self.refresh_eligible()
+        view.subscribe(self.on_view_change)
+        self.refresh_available()
 
     async def start(self) -> None:
-        """Begin to discard what expires."""
+        """Start the periodic task that discards expired slots and tickets."""
         self.background.spawn(self.tick_periodically(), "dispatcher-tick")
 
     async def close(self) -> None:
-        """Stop the background task; sessions end with the server."""
+        """Stop the periodic task. Sessions are closed by the gRPC server."""
         await self.background.cancel()
 
     async def tick_periodically(self) -> None:
         """Call ``tick`` every 100 ms."""
         while True:
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(TICK_INTERVAL_SECONDS)
             self.tick()
 
     # Entry sessions
 
     def open_entry(self, peer: dispatch_role.EntryPeer) -> None:
-        """Accept an entry's session in place of an earlier one of the same entry."""
-        earlier = self.entries.get(peer.entry_id)
-        if earlier is not None:
-            self.close_entry(earlier)
+        """Register an entry's session. Replaces an earlier session of the same entry."""
+        previous = self.entries.get(peer.entry_id)
+        if previous is not None:
+            self.close_entry(previous)
         self.entries[peer.entry_id] = peer
 
     def close_entry(self, peer: dispatch_role.EntryPeer) -> None:
-        """Drop the waiting tickets of the session and free the slots it was never told of."""
+        """Drop the session's waiting tickets and free the slots of its unsent assignments."""
         if self.entries.get(peer.entry_id) is peer:
             del self.entries[peer.entry_id]
         for ticket_id in list(peer.tickets):
             self.queue.remove(ticket_id)
-            self.forget_ticket(ticket_id)
+            self.detach_ticket(ticket_id)
         while not peer.outbox.empty():
             item = peer.outbox.get_nowait()
             if isinstance(item, work.Assignment):
-                self.take_back(item)
+                self.release_undelivered(item)
         self.match()
 
     def enqueue(self, peer: dispatch_role.EntryPeer, ticket: work.Ticket) -> None:
-        """Queue a ticket. A ticket that is queued again ends its earlier dispatch."""
+        """Queue a ticket. If the ticket was dispatched before, that dispatch is ended."""
         self.end_dispatch(ticket.id)
-        earlier = self.ticket_entries.get(ticket.id)
-        if earlier is not None and earlier is not peer:
+        previous = self.ticket_entries.get(ticket.id)
+        if previous is not None and previous is not peer:
             self.queue.remove(ticket.id)
-            self.forget_ticket(ticket.id)
+            self.detach_ticket(ticket.id)
         candidate = self.ledger.candidate
         if self.queue.add(ticket):
             if candidate is not None and self.ledger.candidate is None:
-                self.note_adoption(candidate)
+                self.begin_restoration(candidate)
             self.ticket_entries[ticket.id] = peer
             peer.tickets.add(ticket.id)
             self.match()
 
     def cancel(self, peer: dispatch_role.EntryPeer, ticket_id: str) -> None:
-        """Forget a waiting ticket of this session.
+        """Remove a waiting ticket of this session.
 
-        A ticket whose assignment is on its way is left: the entry declines the assignment.
+        A ticket that is already assigned is left alone: the entry declines its assignment.
         """
         if self.ticket_entries.get(ticket_id) is peer:
             self.queue.remove(ticket_id)
-            self.forget_ticket(ticket_id)
+            self.detach_ticket(ticket_id)
 
     def decline(self, declined: dispatch_role.DeclinedSlot) -> None:
-        """End the dispatch, and free the slot if it is valid and not about to expire."""
+        """End the dispatch of a declined assignment, and free its slot if it is still valid."""
         self.declined_slots += 1
         agent = self.agents.get(declined.agent_id)
         if agent is None or agent.peer.incarnation != declined.agent_incarnation:
@@ -187,11 +195,11 @@
         del agent.assigned[declined.slot_id]
         if declined.slot_valid:
             agent.free.appendleft((deadline, declined.slot_id))
-            self.place(agent)
+            self.update_position(agent)
             self.match()
 
-    def take_back(self, assignment: work.Assignment) -> None:
-        """Free the slot of an assignment that was not delivered."""
+    def release_undelivered(self, assignment: work.Assignment) -> None:
+        """Free the slot of an assignment that was not sent to its entry."""
         self.decline(
             dispatch_role.DeclinedSlot(
                 ticket_id=assignment.ticket_id,
@@ -202,8 +210,8 @@
             )
         )
 
-    def forget_ticket(self, ticket_id: str) -> None:
-        """Forget to which session a ticket belongs."""
+    def detach_ticket(self, ticket_id: str) -> None:
+        """Remove the association between a ticket and its entry session."""
         peer = self.ticket_entries.pop(ticket_id, None)
         if peer is not None:
             peer.tickets.discard(ticket_id)
@@ -211,25 +219,28 @@
     # Agent sessions
 
     def open_agent(self, peer: dispatch_role.AgentPeer, snapshot: ledger.Snapshot | None) -> bool:
-        """Accept an agent's session in place of an earlier one of the same agent."""
-        earlier = self.agents.get(peer.agent_id)
-        if earlier is not None:
-            if earlier.peer.incarnation > peer.incarnation:
+        """Register an agent's session. Replaces an earlier session of the same agent.
+
+        Returns False if a later incarnation of the agent already has a session.
+        """
+        previous = self.agents.get(peer.agent_id)
+        if previous is not None:
+            if previous.peer.incarnation > peer.incarnation:
                 return False
-            self.close_agent(earlier.peer)
+            self.close_agent(previous.peer)
         self.agents[peer.agent_id] = AgentSlots(peer)
         if snapshot is not None:
             self.offer_snapshot(snapshot)
-        self.refresh_eligible()
+        self.refresh_available()
         return True
 
     def close_agent(self, peer: dispatch_role.AgentPeer) -> None:
-        """Drop the free slots and end the reservations of the agent's tickets."""
+        """Drop the agent's free slots and end the dispatch of its tickets."""
         agent = self.agents.get(peer.agent_id)
         if agent is None or agent.peer is not peer:
             return
         agent.free.clear()
-        self.place(agent)
+        self.update_position(agent)
         del self.agents[peer.agent_id]
         for ticket_id in list(agent.tickets):
             self.end_dispatch(ticket_id)
@@ -237,26 +248,26 @@
     def offer(
         self, peer: dispatch_role.AgentPeer, slot_ids: tuple[int, ...], deadline: float
     ) -> None:
-        """Add free slots and assign them at once if tickets wait."""
+        """Add free slots, valid until ``deadline``, and assign them to waiting tickets."""
         agent = self.agents.get(peer.agent_id)
         if agent is None or agent.peer is not peer:
             return
         agent.free.extend((deadline, slot_id) for slot_id in slot_ids)
-        self.place(agent)
+        self.update_position(agent)
         self.match()
 
     def retract(self, peer: dispatch_role.AgentPeer) -> None:
-        """Discard every free slot of the agent and tell it which ones."""
+        """Discard every free slot of the agent and return the slot ids to it."""
         agent = self.agents.get(peer.agent_id)
         if agent is None or agent.peer is not peer or not agent.free:
             return
         slot_ids = [slot_id for _, slot_id in agent.free]
         agent.free.clear()
-        self.place(agent)
+        self.update_position(agent)
         peer.return_slots(slot_ids)
 
     def report(self, peer: dispatch_role.AgentPeer, report: dispatch_role.AgentReport) -> None:
-        """Charge the agent's counters and settle the tickets it finished."""
+        """Charge the costs that an agent reports and end the dispatch of finished tickets."""
         agent = self.agents.get(peer.agent_id)
         if agent is None or agent.peer is not peer:
             return
@@ -270,22 +281,25 @@
         for ticket_id in finished:
             agent.assigned.pop(self.dispatched[ticket_id].slot_id, None)
             self.end_dispatch(ticket_id)
-        self.place(agent)
+        self.update_position(agent)
 
     def agent_peers(self) -> list[dispatch_role.AgentPeer]:
         """Return the open agent sessions."""
         return [agent.peer for agent in self.agents.values()]
 
     def candidates(self) -> frozenset[str]:
-        """Return the first three candidates: this dispatcher and the two that follow it."""
+        """Return the ids of the three highest-ranked dispatcher candidates.
+
+        Normally these are this dispatcher and the two agents next in line for failover.
+        """
         ranked = rendezvous.rank(self.service, self.view.available_agents(self.service))
         return frozenset(agent.id for agent in ranked[:CANDIDATE_COUNT])
 
     # Matching
 
     def match(self) -> None:
-        """Assign free slots to waiting tickets until one of them runs out."""
-        if not self.order or not len(self.queue):
+        """Assign free slots to waiting tickets until either runs out."""
+        if not self.agent_order or not len(self.queue):
             return
         now = time.monotonic()
         self.drop_expired_tickets(now)
@@ -299,33 +313,33 @@
             self.assign(taken, agent, now)
 
     def choose_agent(self, now: float) -> AgentSlots | None:
-        """Return the least loaded agent that has a usable slot and may receive work."""
-        while self.order:
-            agent = self.agents[self.order[0][2]]
+        """Return the least loaded agent that has a usable slot and may be assigned work."""
+        while self.agent_order:
+            agent = self.agents[self.agent_order[0][2]]
             self.discard_expired_slots(agent, now)
-            if agent.free and self.may_receive(agent):
+            if agent.free and self.accepts_work(agent):
                 return agent
             if agent.free:
-                # Out of the order until tick() finds it eligible again.
-                self.order.remove(agent.position)
+                # Not a candidate until refresh_available() adds it again.
+                self.agent_order.remove(agent.position)
                 agent.position = None
         return None
 
     def assign(self, taken: fair_queue.Taken, agent: AgentSlots, now: float) -> None:
-        """Give a slot of the agent to a ticket and tell its entry."""
+        """Assign a slot of the agent to a ticket and send the assignment to the entry."""
         ticket = taken.ticket
         entry = self.ticket_entries[ticket.id]
-        self.forget_ticket(ticket.id)
+        self.detach_ticket(ticket.id)
         deadline, slot_id = agent.free.popleft()
         agent.assigned[slot_id] = (deadline, ticket.id)
         agent.tickets.add(ticket.id)
-        dispatched = Dispatched(entry, agent, slot_id, deadline + UNSTARTED_GRACE_SECONDS)
+        dispatched = DispatchedTicket(entry, agent, slot_id, deadline + START_REPORT_GRACE_SECONDS)
         self.dispatched[ticket.id] = dispatched
         self.unstarted[ticket.id] = dispatched
-        self.turn += 1
-        agent.turn = self.turn
-        self.place(agent)
-        self.served[ticket.team] += 1
+        self.dispatch_total += 1
+        agent.last_dispatch = self.dispatch_total
+        self.update_position(agent)
+        self.dispatched_by_team[ticket.team] += 1
         slot = work.Slot(
             id=slot_id,
             agent_id=agent.peer.agent_id,
@@ -344,7 +358,7 @@
         )
 
     def end_dispatch(self, ticket_id: str) -> None:
-        """Forget a dispatched ticket and end its reservation."""
+        """Remove a dispatched ticket and release the cost reserved for it."""
         dispatched = self.dispatched.pop(ticket_id, None)
         if dispatched is None:
             return
@@ -352,92 +366,92 @@
         dispatched.agent.tickets.discard(ticket_id)
         self.queue.settle(ticket_id)
         if self.agents.get(dispatched.agent.peer.agent_id) is dispatched.agent:
-            self.place(dispatched.agent)
+            self.update_position(dispatched.agent)
 
-    def place(self, agent: AgentSlots) -> None:
-        """Move an agent to its place in the order of agents with free slots."""
-        self.free_total += len(agent.free) - agent.counted
-        agent.counted = len(agent.free)
-        position = (agent.load, agent.turn, agent.peer.agent_id) if agent.free else None
+    def update_position(self, agent: AgentSlots) -> None:
+        """Update an agent's position among the agents with free slots, and the slot count."""
+        self.free_slot_count += len(agent.free) - agent.counted_free
+        agent.counted_free = len(agent.free)
+        position = (agent.load, agent.last_dispatch, agent.peer.agent_id) if agent.free else None
         if position == agent.position:
             return
         if agent.position is not None:
-            self.order.remove(agent.position)
+            self.agent_order.remove(agent.position)
         agent.position = position
         if position is not None:
-            self.order.add(position)
+            self.agent_order.add(position)
 
-    def may_receive(self, agent: AgentSlots) -> bool:
-        """Tell whether the view allows new work for the agent."""
+    def accepts_work(self, agent: AgentSlots) -> bool:
+        """Return whether the fleet view allows new work for the agent."""
         peer = agent.peer
         return (
-            peer.agent_id in self.eligible
+            peer.agent_id in self.available
             and not self.view.is_out_of_service(peer.agent_id, peer.availability_zone)
             and not self.view.is_leaving(peer.agent_id)
         )
 
-    # Time and view
+    # Expiry and fleet view
 
     def tick(self) -> None:
-        """Discard what has expired, follow the view and assign what became possible."""
+        """Discard expired state, apply changes of the fleet view and assign free slots."""
         now = time.monotonic()
-        self.refresh_eligible()
+        self.refresh_available()
         self.drop_expired_tickets(now)
         for agent in self.agents.values():
             self.discard_expired_slots(agent, now)
-            self.place(agent)
+            self.update_position(agent)
             for slot_id in [key for key, (end, _) in agent.assigned.items() if end <= now]:
                 del agent.assigned[slot_id]
-        late = [key for key, item in self.unstarted.items() if item.start_deadline <= now]
-        for ticket_id in late:
+        overdue = [key for key, item in self.unstarted.items() if item.start_deadline <= now]
+        for ticket_id in overdue:
             self.end_dispatch(ticket_id)
         if now >= self.restoration_deadline:
             self.ledger.end_restoration()
         self.match()
 
     def discard_expired_slots(self, agent: AgentSlots, now: float) -> None:
-        """Discard slots too near their deadline, and tell the agent so that it issues new ones."""
+        """Return slots too close to their deadline to the agent, so that it issues new ones."""
         discarded = []
-        while agent.free and agent.free[0][0] - SLOT_MARGIN_SECONDS <= now:
+        while agent.free and agent.free[0][0] - SLOT_EXPIRY_MARGIN_SECONDS <= now:
             discarded.append(agent.free.popleft()[1])
         if discarded:
             agent.peer.return_slots(discarded)
-            self.place(agent)
+            self.update_position(agent)
 
     def drop_expired_tickets(self, now: float) -> None:
-        """Drop tickets whose caller no longer waits."""
+        """Drop waiting tickets whose deadline has passed."""
         for ticket in self.queue.drop_expired(now):
             self.expired_tickets += 1
-            self.forget_ticket(ticket.id)
+            self.detach_ticket(ticket.id)
 
-    def follow_view(self) -> None:
-        """Use the newest configuration and members."""
+    def on_view_change(self) -> None:
+        """Apply the newest configuration and membership."""
         if self.view.configuration is not self.configuration:
             self.configuration = self.view.configuration
             self.ledger.set_terms(self.read_terms())
-        self.refresh_eligible()
+        self.refresh_available()
         self.match()
 
-    def refresh_eligible(self) -> None:
-        """Read from the view which agents may receive work."""
-        eligible = frozenset(agent.id for agent in self.view.available_agents(self.service))
-        if eligible != self.eligible:
-            self.eligible = eligible
+    def refresh_available(self) -> None:
+        """Update the set of available agents from the fleet view."""
+        available = frozenset(agent.id for agent in self.view.available_agents(self.service))
+        if available != self.available:
+            self.available = available
         for agent in self.agents.values():
             if agent.position is None and agent.free:
-                self.place(agent)
+                self.update_position(agent)
 
     def read_terms(self) -> ledger.Terms:
-        """Return shares and limits from the newest configuration.
+        """Return team shares and cost limits from the newest configuration.
 
-        The debt cap is what one team can owe when it holds every slot with requests of the
-        maximum cost; a lower cap would forgive ordinary underestimates over and over.
+        The debt cap is what a team owes if it holds every slot with requests of the maximum cost.
+        A lower cap would repeatedly forgive ordinary underestimates of request costs.
         """
         configuration = self.view.configuration
         services = configuration.services if configuration is not None else ()
         teams = configuration.teams if configuration is not None else ()
         service = next((item for item in services if item.name == self.service), None)
-        maximum_cost = service.maximum_cost if service is not None else UNKNOWN_MAXIMUM_COST
+        maximum_cost = service.maximum_cost if service is not None else DEFAULT_MAXIMUM_COST
         slots = max(1, service.endpoints * service.warm_limit) if service is not None else 1
         return ledger.Terms(
             shares={team.name: team.share for team in teams},
@@ -445,15 +459,15 @@
             debt_cap=maximum_cost * slots,
         )
 
-    # Snapshots and figures
+    # Snapshots and status
 
     def offer_snapshot(self, snapshot: ledger.Snapshot) -> None:
-        """Adopt a snapshot that includes more service than this dispatcher knows."""
+        """Adopt a snapshot if it includes more service than this dispatcher has recorded."""
         if self.ledger.offer_snapshot(snapshot) and self.ledger.candidate is None:
-            self.note_adoption(snapshot)
+            self.begin_restoration(snapshot)
 
-    def note_adoption(self, snapshot: ledger.Snapshot) -> None:
-        """Log an adopted snapshot and wait for the teams that it names."""
+    def begin_restoration(self, snapshot: ledger.Snapshot) -> None:
+        """Log an adopted snapshot and start the time for its teams to queue tickets again."""
         self.restoration_deadline = time.monotonic() + RESTORATION_SECONDS
         LOG.log(
             events.Event.SNAPSHOT_ADOPTED,
@@ -463,11 +477,11 @@
         )
 
     def take_snapshot(self) -> ledger.Snapshot | None:
-        """Return a snapshot if service was included or tickets were dispatched since the last."""
-        basis = (self.ledger.included_total, self.turn)
-        if basis == self.snapshot_basis or not self.ledger.active:
+        """Return a snapshot, or None if no service or dispatch was recorded since the last one."""
+        state = (self.ledger.included_total, self.dispatch_total)
+        if state == self.snapshot_state or not self.ledger.active:
             return None
-        self.snapshot_basis = basis
+        self.snapshot_state = state
         self.ledger.forget_agents({member.id for member in self.view.members()})
         return self.ledger.snapshot()
 
@@ -479,10 +493,10 @@
     @property
     def free_slots(self) -> int:
         """The number of free slots."""
-        return self.free_total
+        return self.free_slot_count
 
     def status(self) -> dict[str, typing.Any]:
-        """Return figures for operators; virtual times are in cost units divided by share."""
+        """Return the operator status. Virtual times are in cost units divided by share."""
         accounts = self.ledger.accounts
         active = sorted(self.ledger.active)
         return {
@@ -499,10 +513,10 @@
                 team: {
                     "waiting": accounts[team].queued,
                     "running": accounts[team].running,
-                    "served": self.served[team],
+                    "served": self.dispatched_by_team[team],
                     "virtual_time": accounts[team].effective,
                 }
                 for team in active
             },
-            "served": dict(self.served),
+            "served": dict(self.dispatched_by_team),
         }
--- a/src/masticward/coordination/offers.py
+++ b/src/masticward/coordination/offers.py
@@ -1,4 +1,4 @@
-"""What an agent offers to the dispatchers of its service and reports to them."""
+"""An agent's slot offers and usage reports to the dispatchers of its service."""
 
 import abc
 import asyncio
@@ -16,22 +16,25 @@
 from masticward.wire import masticward_pb2
 
 LOG = logs.get_logger(__name__)
-# The reservation of a running call covers its progress up to the estimate, so a later report only
-# delays what a call costs beyond it.
-REPORT_SECONDS = 0.5
-# Ends within this time share one report, which bounds the cost of agents with very short calls.
-# Offers are not delayed by it, and reservations hold until the report.
-REPORT_SPACING_SECONDS = 0.1
-# The standby decides nothing; once it is primary the next report brings it up to date.
-STANDBY_REPORT_SECONDS = 1.0
-# Deadlines within this time share one timer.
-EXPIRY_SPACING_SECONDS = 0.05
+# Interval between progress reports. The dispatcher reserves the estimated cost of a running call,
+# so a longer interval only delays charging what a call costs beyond its estimate.
+REPORT_INTERVAL_SECONDS = 0.5
+# Calls that end within this time share one report, which bounds the number of reports of agents
+# with very short calls. Offers are not delayed, and costs stay reserved until they are reported.
+MINIMUM_REPORT_INTERVAL_SECONDS = 0.1
+# Reports to the standby dispatcher can be rare because it assigns nothing. When it becomes primary,
+# the next report brings it up to date.
+STANDBY_REPORT_INTERVAL_SECONDS = 1.0
+# Slot deadlines within this time of each other share one timer.
+EXPIRY_TIMER_RESOLUTION_SECONDS = 0.05
 INITIAL_BACKOFF_SECONDS = 0.05
 MAXIMUM_BACKOFF_SECONDS = 0.5
+# The primary dispatcher and its standby.
 SESSION_COUNT = 2
-# A dispatcher that is left returns its free slots within a round trip. Otherwise they count as
-# issued until their deadline of 2 s, and the agent offers little to the new one until then.
-RELEASE_SECONDS = 0.5
+# A dispatcher that is no longer used returns its free slots within a round trip. Slots that are not
+# returned count as issued until they expire after 2 s, so that the agent can offer few slots to
+# the new dispatcher until then.
+RELEASE_TIMEOUT_SECONDS = 0.5
 
 
 class SlotOffer(msgspec.Struct, frozen=True, kw_only=True):
@@ -42,8 +45,9 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an agent rendered, in cost units. Counters grow only, within one incarnation.
+    """The service that an agent has provided, in cost units, and its load in calls.
 
+    ``counters`` holds the total cost by team; it never decreases within one incarnation.
     ``progress`` holds the cost so far of each running ticket. ``finished`` holds the final cost of
     the tickets that ended since the last call of ``report``; 0 if the ticket was refused.
     """
@@ -58,7 +62,7 @@
 
 
 class SlotSource(abc.ABC):
-    """The side of the endpoint runner that the offer loop uses.
+    """The source of slots and usage reports of the offer loop.
 
     ``changed`` is set whenever new slots may be issued or an attempt has ended.
     """
@@ -67,35 +71,36 @@
 
     @abc.abstractmethod
     def issue_slots(self) -> SlotOffer:
-        """Issue fresh slots up to the admission limit plus the staged depth; may be empty.
+        """Issue new slots up to the admission limit plus the staged depth, possibly none.
 
-        Nothing is issued while the endpoint, its instance or its zone is out or leaving.
+        No slot is issued while the endpoint, its instance or its availability zone is out of
+        service or leaving.
         """
 
     @abc.abstractmethod
     def report(self) -> UsageReport:
-        """Return all counters, the progress of running tickets and the newly finished ones."""
+        """Return all counters, the progress of running tickets and newly finished tickets."""
 
     @abc.abstractmethod
     def is_retracted(self) -> bool:
-        """Tell whether every slot that was offered must be withdrawn."""
+        """Return whether all offered slots must be withdrawn."""
 
     def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:  # noqa: B027
-        """Take back slots that a dispatcher discarded unassigned, so that new ones may be issued.
+        """Reclaim slots that a dispatcher returned unassigned, so that new ones may be issued.
 
         A source that does not override this issues new slots when the old ones expire.
         """
 
     @abc.abstractmethod
     def record_one_way_delay(self, seconds: float) -> None:
-        """Record a measured one-way time to the dispatcher, used for the staged depth."""
+        """Record a one-way network delay to the dispatcher, used for the staged depth."""
 
     def record_waiting_tickets(self, count: int) -> None:  # noqa: B027
-        """Record how many tickets wait at the dispatcher that gets the offers."""
+        """Record the number of tickets that wait at the dispatcher that receives the offers."""
 
 
 class DispatcherSession(dispatch_client.AgentListener):
-    """The session with one dispatcher and what it has been told."""
+    """The session with one dispatcher, and the values last reported to it."""
 
     def __init__(self, loop: "OfferLoop", target: membership.Instance) -> None:
         self.loop = loop
@@ -107,11 +112,12 @@
         self.finished: dict[str, float] = {}
         self.sent_load: tuple[int, int, int] | None = None
         self.writer = dispatch_reports.ReportWriter()
-        self.received = snapshots.SnapshotReceiver()
-        # What was passed on over this link last: whose snapshot and its sequence.
-        self.passed: tuple[snapshots.SnapshotReceiver, int] | None = None
+        self.snapshot_receiver = snapshots.SnapshotReceiver()
+        # The snapshot last forwarded on this link: the sender's receiver and the sequence number.
+        self.forwarded: tuple[snapshots.SnapshotReceiver, int] | None = None
         self.offered_until = 0.0
-        # Whether this link was ever offered slots; if not, the dispatcher knows no ticket here.
+        # Whether slots were ever offered on this link. If not, the dispatcher has assigned no
+        # ticket to this agent and needs no progress or final costs.
         self.offered = False
         self.reported_at = 0.0
         self.answered = False
@@ -120,7 +126,7 @@
         self.released = False
 
     async def run(self) -> None:
-        """Keep the session open until cancelled; a released one is not opened again."""
+        """Keep the session open until cancelled or released. Reconnects with back-off."""
         while not self.released:
             self.connect()
             try:
@@ -140,33 +146,33 @@
                 self.offered_until = 0.0
             if self.released:
                 return
-            self.loop.note_lost(self.target)
+            self.loop.handle_session_loss(self.target)
             await asyncio.sleep(self.backoff_seconds)
             self.backoff_seconds = min(MAXIMUM_BACKOFF_SECONDS, 2 * self.backoff_seconds)
 
     async def release(self) -> None:
-        """Take the free slots back and end the session.
+        """Retract the free slots and end the session.
 
-        Slots are returned only by the dispatcher, which may have assigned some of them.
+        Waits for the dispatcher to return the slots, because it may have assigned some of them.
         """
         task = self.task
         if task is None:
             return
         if self.link is not None and self.offered:
             self.link.retract()
-            # Ends early only if the dispatcher closes the session.
-            await asyncio.wait([task], timeout=RELEASE_SECONDS)
+            # The task ends before the time-out only if the dispatcher closes the session.
+            await asyncio.wait([task], timeout=RELEASE_TIMEOUT_SECONDS)
         await tasks.cancel_and_wait(task)
 
     def connect(self) -> None:
-        """Open a link that starts with hello and a full report."""
+        """Open a new link and reset what was reported, so that the first report is complete."""
         self.link = self.loop.open_link(self)
         self.sent_counters.clear()
         self.sent_progress.clear()
         self.sent_load = None
         self.writer = dispatch_reports.ReportWriter()
-        self.received = snapshots.SnapshotReceiver()
-        self.passed = None
+        self.snapshot_receiver = snapshots.SnapshotReceiver()
+        self.forwarded = None
         self.offered = False
         self.reported_at = 0.0
         self.answered = False
@@ -175,39 +181,39 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the dispatcher has answered on the present link."""
+        """Whether the dispatcher has answered on the current link."""
         return self.link is not None and self.link.established
 
     def on_pong(self, waiting: int, round_trip_seconds: float) -> None:
-        """Record the queue length; the first pong makes the session usable."""
+        """Record the dispatcher's queue length and reset the back-off."""
         first, self.answered = not self.answered, True
         self.backoff_seconds = INITIAL_BACKOFF_SECONDS
         self.waiting = waiting
         self.loop.handle_pong(self, round_trip_seconds, first)
 
     def on_snapshot(self, message: masticward_pb2.Snapshot) -> None:
-        """Store the snapshot for the next hello."""
+        """Store the snapshot, which is sent with the next hello message."""
         self.loop.store_snapshot(self, message)
 
     def on_returned(self, slot_ids: tuple[int, ...]) -> None:
-        """Let the source issue new slots in place of the discarded ones."""
+        """Reclaim the returned slots, so that new ones are issued in their place."""
         self.offered_until = 0.0
         self.loop.source.reclaim_slots(slot_ids)
         self.loop.source.changed.set()
 
-    def note_finished(self, finished: dict[str, float]) -> None:
-        """Keep the ended tickets for the next report, if the dispatcher can know them."""
+    def add_finished(self, finished: dict[str, float]) -> None:
+        """Store final costs for the next report, unless no slots were offered on this link."""
         if self.link is None or not self.offered:
             self.finished.clear()
         else:
             self.finished.update(finished)
 
     def is_report_due(self, now: float) -> bool:
-        """Tell whether a session that gets no offers is due for a report."""
-        return now - self.reported_at >= STANDBY_REPORT_SECONDS
+        """Return whether a report is due on a session that receives no offers."""
+        return now - self.reported_at >= STANDBY_REPORT_INTERVAL_SECONDS
 
     def send_report(self, report: UsageReport, now: float) -> None:
-        """Send what changed since the last report of this session; nothing if nothing did."""
+        """Send the values that changed since the session's last report, if any did."""
         if self.link is None:
             return
         self.reported_at = now
@@ -235,7 +241,7 @@
 
 
 class OfferLoop:
-    """Offers slots to the primary dispatcher and reports to primary and standby."""
+    """Offers slots to the primary dispatcher and reports usage to the primary and the standby."""
 
     def __init__(
         self,
@@ -262,30 +268,30 @@
         self.closed = False
 
     async def start(self) -> None:
-        """Open the sessions and begin to offer."""
-        self.view.subscribe(self.follow_view)
-        self.follow_view()
+        """Open the sessions and start to offer slots."""
+        self.view.subscribe(self.on_view_change)
+        self.on_view_change()
         self.group.spawn(self.offer_continuously(), "offers")
         self.group.spawn(self.report_periodically(), "offer-reports")
 
     async def close(self) -> None:
-        """Close the sessions; the dispatchers drop the slots."""
+        """Close the sessions. The dispatchers then discard the free slots."""
         self.closed = True
         for timer in (self.expiry_timer, self.report_timer):
             if timer is not None:
                 timer.cancel()
         await self.group.cancel()
 
-    def follow_view(self) -> None:
-        """Keep sessions with the first two candidates for dispatcher."""
+    def on_view_change(self) -> None:
+        """Open and release sessions so that the first two dispatcher candidates have one."""
         if self.closed:
             return
         service = self.instance.service
         ranked = rendezvous.rank(service, self.view.available_agents(service))[:SESSION_COUNT]
         if not ranked:
-            # Sessions are kept while no candidate is known: the view may only be cut off.
+            # Keep the sessions: this instance may just be partitioned from its peers.
             return
-        earlier = self.primary
+        previous = self.primary
         self.ranked = [(target.id, target.peer_address) for target in ranked]
         for key in [known for known in self.sessions if known not in self.ranked]:
             session = self.sessions.pop(key)
@@ -295,13 +301,13 @@
             if key not in self.sessions:
                 session = self.sessions[key] = DispatcherSession(self, target)
                 session.task = self.group.spawn(session.run(), f"agent-session-{target.id}")
-        if earlier is not None and earlier is not self.primary and earlier.link is not None:
-            # The slots come back from the earlier primary and go to the new one.
-            earlier.link.retract()
+        if previous is not None and previous is not self.primary and previous.link is not None:
+            # The previous primary returns its slots, and they are issued to the new one.
+            previous.link.retract()
         self.source.changed.set()
 
     def open_link(self, session: DispatcherSession) -> dispatch_client.AgentLink:
-        """Return a link whose first message carries the stored snapshot."""
+        """Return a new link whose hello message includes the stored snapshot."""
         hello = masticward_pb2.AgentHello(
             agent_id=self.instance.id,
             incarnation=self.incarnation,
@@ -312,15 +318,15 @@
         )
         return dispatch_client.AgentLink(self.channels, session.target.peer_address, hello, session)
 
-    def note_lost(self, target: membership.Instance) -> None:
-        """Suspect a dispatcher whose session broke and choose again."""
+    def handle_session_loss(self, target: membership.Instance) -> None:
+        """Mark a dispatcher whose session failed as suspected, and update the sessions."""
         self.view.suspect(target.id)
-        self.follow_view()
+        self.on_view_change()
 
     def handle_pong(
         self, session: DispatcherSession, round_trip_seconds: float, first: bool
     ) -> None:
-        """Use a pong of a dispatcher: hop time, and where slots are wanted."""
+        """Record the delay and queue length of a pong, and offer slots where tickets wait."""
         primary, standby = self.primary, self.standby
         if session is primary:
             self.source.record_one_way_delay(round_trip_seconds / 2)
@@ -328,42 +334,49 @@
             self.source.record_waiting_tickets(session.waiting)
         if first:
             self.source.changed.set()
-        if primary is not None and standby is not None and wants_standby(primary, standby):
+        if (
+            primary is not None
+            and standby is not None
+            and only_standby_has_tickets(primary, standby)
+        ):
             if primary.offered_until > time.monotonic() and primary.link is not None:
-                # The dispatcher returns what it drops, and those slots are issued again.
+                # The primary returns its free slots, and they are issued to the standby.
                 primary.link.retract()
             self.source.changed.set()
 
     @property
     def primary(self) -> DispatcherSession | None:
-        """The session with the first candidate."""
+        """The session with the first dispatcher candidate."""
         return self.sessions.get(self.ranked[0]) if self.ranked else None
 
     @property
     def standby(self) -> DispatcherSession | None:
-        """The session with the second candidate."""
+        """The session with the second dispatcher candidate."""
         return self.sessions.get(self.ranked[1]) if len(self.ranked) > 1 else None
 
     def choose_session(self) -> DispatcherSession | None:
-        """Return the session to which slots are offered now."""
+        """Return the session on which to offer slots, None if no dispatcher answers.
+
+        Slots go to the standby if the primary does not answer, or if only the standby has tickets.
+        """
         primary, standby = self.primary, self.standby
         if primary is not None and primary.usable:
-            if standby is not None and wants_standby(primary, standby):
+            if standby is not None and only_standby_has_tickets(primary, standby):
                 return standby
             return primary
         return standby if standby is not None and standby.usable else None
 
     async def offer_continuously(self) -> None:
-        """Offer new slots and report ends whenever the source changed."""
+        """Offer new slots and report finished tickets whenever the source changes."""
         while True:
             await self.source.changed.wait()
             self.source.changed.clear()
             self.retract_if_needed()
             self.offer()
-            self.report_soon()
+            self.schedule_report()
 
     def retract_if_needed(self) -> None:
-        """Withdraw all slots once after the source began to be retracted."""
+        """Retract the slots of all sessions once when the source becomes retracted."""
         retracted = self.source.is_retracted()
         if retracted and not self.retracted:
             for session in self.sessions.values():
@@ -372,7 +385,7 @@
         self.retracted = retracted
 
     def offer(self) -> None:
-        """Issue slots and send them to the dispatcher that has work for them."""
+        """Issue slots and send them to the chosen dispatcher."""
         session = self.choose_session()
         if session is None or session.link is None or self.retracted:
             return
@@ -381,31 +394,31 @@
             session.link.offer(offered.slot_ids, offered.deadline)
             session.offered_until = offered.deadline
             session.offered = True
-            self.note_expiry(offered.deadline)
+            self.schedule_expiry(offered.deadline)
 
-    def note_expiry(self, deadline: float) -> None:
-        """Look for slots to issue again soon after the deadline."""
-        if self.expiries and deadline - self.expiries[-1] < EXPIRY_SPACING_SECONDS:
+    def schedule_expiry(self, deadline: float) -> None:
+        """Schedule the next issue of slots shortly after the deadline."""
+        if self.expiries and deadline - self.expiries[-1] < EXPIRY_TIMER_RESOLUTION_SECONDS:
             return
         self.expiries.append(deadline)
         if self.expiry_timer is None:
-            self.arm_expiry_timer()
+            self.update_expiry_timer()
 
-    def arm_expiry_timer(self) -> None:
-        """Wake the offers when the earliest noted deadline has certainly passed."""
+    def update_expiry_timer(self) -> None:
+        """Wake the offer loop for deadlines that have passed, and set the timer for the next."""
         now = time.monotonic()
-        while self.expiries and self.expiries[0] + EXPIRY_SPACING_SECONDS <= now:
+        while self.expiries and self.expiries[0] + EXPIRY_TIMER_RESOLUTION_SECONDS <= now:
             self.expiries.popleft()
             self.source.changed.set()
         self.expiry_timer = None
         if self.expiries:
-            delay = self.expiries[0] + EXPIRY_SPACING_SECONDS - now
+            delay = self.expiries[0] + EXPIRY_TIMER_RESOLUTION_SECONDS - now
             loop = asyncio.get_running_loop()
-            self.expiry_timer = loop.call_later(delay, self.arm_expiry_timer)
+            self.expiry_timer = loop.call_later(delay, self.update_expiry_timer)
 
-    def report_soon(self) -> None:
-        """Report now, or as soon as the spacing between two reports allows."""
-        delay = self.reported_at + REPORT_SPACING_SECONDS - time.monotonic()
+    def schedule_report(self) -> None:
+        """Send reports now, or once the minimum interval since the last ones has passed."""
+        delay = self.reported_at + MINIMUM_REPORT_INTERVAL_SECONDS - time.monotonic()
         if delay <= 0.0:
             self.send_reports()
         elif self.report_timer is None:
@@ -413,58 +426,59 @@
             self.report_timer = loop.call_later(delay, self.send_reports)
 
     def send_reports(self) -> None:
-        """Send to each session what it has not been told."""
+        """Send each session that is due the values that changed since its last report."""
         if self.report_timer is not None:
             self.report_timer.cancel()
             self.report_timer = None
         self.reported_at = time.monotonic()
         report = self.source.report()
-        receiver = self.choose_session()
+        offered_session = self.choose_session()
         for session in self.sessions.values():
-            session.note_finished(report.finished)
-            if session is receiver or session.is_report_due(self.reported_at):
+            session.add_finished(report.finished)
+            if session is offered_session or session.is_report_due(self.reported_at):
                 session.send_report(report, self.reported_at)
 
     async def report_periodically(self) -> None:
-        """Report the progress of running work."""
+        """Report the progress of running calls every 500 ms unless a report was just sent."""
         while True:
-            await asyncio.sleep(REPORT_SECONDS)
-            if time.monotonic() - self.reported_at >= REPORT_SECONDS / 2:
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
+            if time.monotonic() - self.reported_at >= REPORT_INTERVAL_SECONDS / 2:
                 self.send_reports()
 
     def store_snapshot(self, sender: DispatcherSession, message: masticward_pb2.Snapshot) -> None:
-        """Keep the newest snapshot and pass it to the dispatcher in this agent's own process.
+        """Store the newest snapshot and forward it to the dispatcher in this process.
 
-        The standby is an agent too, so it knows the primary's snapshots before it takes over.
+        Every agent process also runs a dispatcher. Forwarding gives the standby the primary's
+        snapshots before a failover.
         """
-        received = sender.received
-        if not received.apply(message):
+        receiver = sender.snapshot_receiver
+        if not receiver.apply(message):
             return
-        if self.snapshot is not None and received.included_total < self.snapshot.included_total:
+        if self.snapshot is not None and receiver.included_total < self.snapshot.included_total:
             return
-        self.snapshot = received
+        self.snapshot = receiver
         for session in self.sessions.values():
             own = session.target.id == self.instance.id
             if own and session is not sender and session.link is not None:
-                usable = not message.base_sequence or session.passed == (
-                    received,
+                can_forward = not message.base_sequence or session.forwarded == (
+                    receiver,
                     message.base_sequence,
                 )
                 session.link.pass_snapshot(
-                    message if usable else received.write(self.instance.service)
+                    message if can_forward else receiver.write(self.instance.service)
                 )
-                session.passed = (received, message.sequence)
+                session.forwarded = (receiver, message.sequence)
 
     def write_snapshot(self) -> masticward_pb2.Snapshot | None:
-        """Return the stored snapshot in full, None if there is none."""
+        """Return the complete stored snapshot, None if there is none."""
         return None if self.snapshot is None else self.snapshot.write(self.instance.service)
 
 
-def wants_standby(primary: DispatcherSession, standby: DispatcherSession) -> bool:
-    """Tell whether only the standby has waiting tickets."""
+def only_standby_has_tickets(primary: DispatcherSession, standby: DispatcherSession) -> bool:
+    """Return whether tickets wait at the standby and none at the primary."""
     return standby.usable and standby.waiting > 0 and primary.waiting == 0
 
 
 def changed_values(values: dict[str, float], sent: dict[str, float]) -> dict[str, float]:
-    """Return the entries that differ from those sent before."""
+    """Return the entries of ``values`` that differ from those in ``sent``."""
     return {key: value for key, value in values.items() if sent.get(key) != value}
--- a/src/masticward/coordination/ticket_submitter.py
+++ b/src/masticward/coordination/ticket_submitter.py
@@ -1,4 +1,4 @@
-"""The entry's waiting requests and the tickets that stand for them at the dispatchers."""
+"""Waiting requests of an entry, and the tickets that are queued for them at dispatchers."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class Waiter:
-    """A ticket with the future of the request that waits for its slot."""
+    """A ticket and the future on which its request waits for a slot."""
 
     __slots__ = ("future", "ticket")
 
@@ -19,7 +19,10 @@
 
 
 class TicketSubmitter:
-    """Submits tickets in order, a bounded number per team and service, and hands out slots."""
+    """Submits tickets in order and passes the assigned slots to the waiting requests.
+
+    At most ``limit`` tickets per team and service are queued at the dispatcher at a time.
+    """
 
     __slots__ = ("limit", "ticket_client", "waiters", "windows")
 
@@ -30,9 +33,9 @@
         self.windows: dict[tuple[str, str], ticket_window.TicketWindow] = {}
 
     async def wait(self, ticket: work.Ticket) -> work.Assignment:
-        """Wait for the ticket's slot. Raises what ``fail`` was given.
+        """Submit the ticket and wait for its slot. Raises the error passed to ``fail``.
 
-        If the waiting task is cancelled, the ticket is withdrawn or its slot given back.
+        If the waiting task is cancelled, the ticket is withdrawn or its slot is declined.
         """
         waiter = Waiter(ticket)
         self.waiters[ticket.id] = waiter
@@ -42,18 +45,18 @@
             return await waiter.future
         except asyncio.CancelledError:
             if waiter.future.done() and not waiter.future.cancelled():
-                self.give_back(waiter.future)
+                self.decline_unused(waiter.future)
             raise
         finally:
-            self.forget(ticket)
+            self.remove(ticket)
 
-    def give_back(self, future: asyncio.Future[work.Assignment]) -> None:
-        """Decline the slot that a cancelled request was given."""
+    def decline_unused(self, future: asyncio.Future[work.Assignment]) -> None:
+        """Decline the slot that was assigned to a cancelled request."""
         if future.exception() is None:
             self.decline(future.result(), slot_valid=True)
 
     def on_assign(self, assignment: work.Assignment) -> bool:
-        """Hand a slot to its ticket's request; returns False if it no longer waits."""
+        """Pass a slot to its ticket's request. Return False if the request no longer waits."""
         waiter = self.waiters.get(assignment.ticket_id)
         if waiter is None or waiter.future.done():
             return False
@@ -62,13 +65,13 @@
         return True
 
     def fail(self, ticket_id: str, error: errors.MasticwardError) -> None:
-        """End the wait of a ticket with an error, if it still waits."""
+        """Raise an error in the request that waits for a ticket, if it still waits."""
         waiter = self.waiters.get(ticket_id)
         if waiter is not None and not waiter.future.done():
             waiter.future.set_exception(error)
 
     def decline(self, assignment: work.Assignment, *, slot_valid: bool) -> None:
-        """Give a slot back to the dispatcher."""
+        """Return a slot to the dispatcher. ``slot_valid`` is False if the agent refused it."""
         if self.ticket_client is not None:
             self.ticket_client.decline(assignment, slot_valid)
 
@@ -76,14 +79,17 @@
         """Return the id of the service's dispatcher, or an empty string."""
         return self.ticket_client.dispatcher_of(service) if self.ticket_client is not None else ""
 
-    def forget(self, ticket: work.Ticket) -> None:
-        """Drop a ticket; it is withdrawn from the dispatcher if it is still queued there."""
+    def remove(self, ticket: work.Ticket) -> None:
+        """Remove a ticket, and withdraw it from the dispatcher if it is still queued there."""
         self.waiters.pop(ticket.id, None)
         if self.remove_from_window(ticket) and self.ticket_client is not None:
             self.ticket_client.withdraw(ticket.id)
 
     def remove_from_window(self, ticket: work.Ticket) -> bool:
-        """Remove a ticket from its window and submit the next; True if it was outstanding."""
+        """Remove a ticket from its window and submit the next.
+
+        Returns whether the ticket was outstanding at the dispatcher.
+        """
         key = (ticket.team, ticket.service)
         window = self.windows.get(key)
         if window is None:
@@ -95,7 +101,7 @@
         return outstanding
 
     def window_of(self, ticket: work.Ticket) -> ticket_window.TicketWindow:
-        """Return the window of a ticket's team and service."""
+        """Return the window of a ticket's team and service, creating it on first use."""
         key = (ticket.team, ticket.service)
         window = self.windows.get(key)
         if window is None:
@@ -104,7 +110,7 @@
         return window
 
     def submit_next(self, team: str, service: str) -> None:
-        """Submit the tickets that the window of a team and service has room for."""
+        """Submit waiting tickets of a team and service up to the window's limit."""
         window = self.windows.get((team, service))
         if window is None or self.ticket_client is None:
             return
--- a/src/masticward/coordination/tickets.py
+++ b/src/masticward/coordination/tickets.py
@@ -1,4 +1,4 @@
-"""The entry's tickets at the dispatchers of all services."""
+"""The client with which an entry queues tickets at the dispatchers of all services."""
 
 import abc
 import asyncio
@@ -19,27 +19,27 @@
 
 
 class TicketClient(abc.ABC):
-    """Keeps tickets queued at the right dispatcher until they are assigned or withdrawn.
+    """Keeps tickets queued at their service's dispatcher until they are assigned or withdrawn.
 
-    Assignments reach the router through the callback ``on_assign(assignment)`` given at
-    construction; it returns False if the ticket no longer waits, and the slot is then declined.
+    Assignments are passed to the callback ``on_assign(assignment)``, which is given at
+    construction. If it returns False because the ticket no longer waits, the slot is declined.
     """
 
     @abc.abstractmethod
     def submit(self, ticket: work.Ticket) -> None:
-        """Queue a ticket; it is queued again whenever the dispatcher of its service changes."""
+        """Queue a ticket. It is queued again whenever its service's dispatcher changes."""
 
     @abc.abstractmethod
     def withdraw(self, ticket_id: str) -> None:
-        """Forget a ticket, for example because its caller vanished or its deadline passed."""
+        """Remove a ticket, for example after its caller disconnected or its deadline passed."""
 
     @abc.abstractmethod
     def decline(self, assignment: work.Assignment, slot_valid: bool) -> None:
-        """Give an unused slot back; ``slot_valid`` is False if the agent refused it."""
+        """Return an unused slot. ``slot_valid`` is False if the agent refused the slot."""
 
     @abc.abstractmethod
     def dispatcher_of(self, service: str) -> str:
-        """Return the id of the agent that dispatches the service now, or an empty string."""
+        """Return the id of the service's current dispatcher, or an empty string."""
 
 
 AssignCallback = collections.abc.Callable[[work.Assignment], bool]
@@ -58,41 +58,42 @@
         self.changed = asyncio.Event()
         self.backoff_seconds = INITIAL_BACKOFF_SECONDS
 
-    def choose(self) -> membership.Instance | None:
-        """Return the first candidate for dispatcher, None if there is none."""
+    def choose_dispatcher(self) -> membership.Instance | None:
+        """Return the first dispatcher candidate, None if there is none."""
         ranked = rendezvous.rank(self.service, self.client.view.available_agents(self.service))
         return ranked[0] if ranked else None
 
-    def follow_view(self) -> None:
-        """Leave the session if another agent has become the first candidate.
+    def on_view_change(self) -> None:
+        """End the session if another agent has become the first dispatcher candidate.
 
-        It is kept while no candidate is known: the view may only be cut off.
+        The session is kept while there is no candidate: this instance may just be partitioned from
+        its peers.
         """
         self.changed.set()
-        chosen = self.choose()
+        chosen = self.choose_dispatcher()
         if chosen is None or self.link_task is None:
             return
-        if identity(chosen) != identity(self.target):
+        if session_key(chosen) != session_key(self.target):
             self.link_task.cancel()
 
     async def run(self) -> None:
-        """Keep a session with the service's dispatcher until cancelled."""
+        """Keep a session open with the service's current dispatcher until cancelled."""
         while True:
             self.changed.clear()
-            target = self.choose()
+            target = self.choose_dispatcher()
             if target is None:
                 await self.wait_for_change()
                 continue
-            if identity(target) != identity(self.target):
+            if session_key(target) != session_key(self.target):
                 LOG.log(events.Event.DISPATCHER_CHANGED, service=self.service, dispatcher=target.id)
             self.target = target
-            if await self.serve(target):
+            if await self.run_session(target):
                 continue
             await asyncio.sleep(self.backoff_seconds)
             self.backoff_seconds = min(MAXIMUM_BACKOFF_SECONDS, 2 * self.backoff_seconds)
 
-    async def serve(self, target: membership.Instance) -> bool:
-        """Hold one session; True if it ended because another dispatcher was chosen."""
+    async def run_session(self, target: membership.Instance) -> bool:
+        """Run one session until it ends. Return True if another dispatcher was chosen."""
         hello = masticward_pb2.EntryHello(
             entry_id=self.client.entry_id,
             incarnation=self.client.incarnation,
@@ -123,21 +124,21 @@
         return False
 
     async def wait_for_change(self) -> None:
-        """Wait until the view changes, or for the longest back-off."""
+        """Wait until the fleet view changes, at most for the longest back-off."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(MAXIMUM_BACKOFF_SECONDS):
                 await self.changed.wait()
 
     def has_tickets(self) -> bool:
-        """Tell whether tickets wait for an assignment."""
+        """Return whether any ticket waits for an assignment."""
         return bool(self.waiting)
 
     def on_established(self) -> None:
-        """Start later back-offs from the beginning."""
+        """Reset the back-off."""
         self.backoff_seconds = INITIAL_BACKOFF_SECONDS
 
     def on_assign(self, assignment: work.Assignment) -> None:
-        """Pass an assignment to the router, or decline it if its ticket no longer waits."""
+        """Pass an assignment to the callback, or decline it if its ticket no longer waits."""
         self.client.agent_services[assignment.slot.agent_id] = self.service
         ticket = self.waiting.pop(assignment.ticket_id, None)
         self.client.ticket_services.pop(assignment.ticket_id, None)
@@ -146,7 +147,7 @@
 
 
 class DispatcherTicketClient(TicketClient):
-    """Holds one session for each service that the configuration names or a ticket needs."""
+    """Keeps one session for each configured service and each service that has had a ticket."""
 
     def __init__(
         self,
@@ -168,29 +169,29 @@
         self.closed = False
 
     async def start(self) -> None:
-        """Open the sessions of all configured services."""
-        self.view.subscribe(self.follow_view)
-        self.follow_view()
+        """Open a session for each configured service."""
+        self.view.subscribe(self.on_view_change)
+        self.on_view_change()
 
     async def close(self) -> None:
-        """Close all sessions; the dispatchers drop the tickets."""
+        """Close all sessions. The dispatchers then drop the tickets."""
         self.closed = True
         for task in list(self.session_tasks.values()):
             await tasks.cancel_and_wait(task)
         self.session_tasks.clear()
 
-    def follow_view(self) -> None:
-        """Open sessions of new services and move sessions whose dispatcher changed."""
+    def on_view_change(self) -> None:
+        """Open sessions for new services, and replace sessions whose dispatcher changed."""
         if self.closed:
             return
         configuration = self.view.configuration
         for service in configuration.services if configuration is not None else ():
-            self.session_of(service.name)
+            self.ensure_session(service.name)
         for session in self.sessions.values():
-            session.follow_view()
+            session.on_view_change()
 
-    def session_of(self, service: str) -> ServiceSession:
-        """Return the session of a service, opened on first use."""
+    def ensure_session(self, service: str) -> ServiceSession:
+        """Return the session of a service, opening it on first use."""
         session = self.sessions.get(service)
         if session is None:
             session = self.sessions[service] = ServiceSession(self, service)
@@ -200,15 +201,15 @@
         return session
 
     def submit(self, ticket: work.Ticket) -> None:
-        """Queue a ticket now, and again whenever the dispatcher of its service changes."""
-        session = self.session_of(ticket.service)
+        """Queue a ticket now, and again whenever its service's dispatcher changes."""
+        session = self.ensure_session(ticket.service)
         session.waiting[ticket.id] = ticket
         self.ticket_services[ticket.id] = ticket.service
         if session.link is not None:
             session.link.enqueue(ticket)
 
     def withdraw(self, ticket_id: str) -> None:
-        """Forget a ticket, here and at the dispatcher."""
+        """Remove a ticket locally and at the dispatcher."""
         service = self.ticket_services.pop(ticket_id, None)
         if service is None:
             return
@@ -218,20 +219,20 @@
             session.link.cancel(ticket_id)
 
     def decline(self, assignment: work.Assignment, slot_valid: bool) -> None:
-        """Give an unused slot back to the dispatcher of its service."""
+        """Return an unused slot to its service's dispatcher."""
         service = self.agent_services.get(assignment.slot.agent_id)
         session = self.sessions.get(service) if service is not None else None
         if session is not None and session.link is not None:
             session.link.decline(assignment, slot_valid)
 
     def dispatcher_of(self, service: str) -> str:
-        """Return the agent that answers as the service's dispatcher, or an empty string."""
+        """Return the id of the dispatcher with an established session, or an empty string."""
         session = self.sessions.get(service)
         if session is None or session.link is None or not session.link.established:
             return ""
         return session.target.id if session.target is not None else ""
 
 
-def identity(instance: membership.Instance | None) -> tuple[str, str] | None:
-    """Return what distinguishes two places of a dispatcher: its id and its address."""
+def session_key(instance: membership.Instance | None) -> tuple[str, str] | None:
+    """Return the id and peer address. A dispatcher with a new address needs a new session."""
     return None if instance is None else (instance.id, instance.peer_address)
--- a/tests/functional/test_dispatch_sessions.py
+++ b/tests/functional/test_dispatch_sessions.py
@@ -1,4 +1,7 @@
-"""Guards against tickets lost, doubled or starved when dispatcher sessions fail, over real gRPC."""
+"""Guards against tickets that are lost, run twice or starved when dispatcher sessions fail.
+
+The sessions run over real gRPC connections.
+"""
 
 import asyncio
 import collections
@@ -17,7 +20,7 @@
 SERVICE = dispatch_fleet.SERVICE
 
 
-class FrozenServicer(masticward_pb2_grpc.DispatchServicer):
+class UnresponsiveServicer(masticward_pb2_grpc.DispatchServicer):
     """Accepts sessions and never answers, like a paused process."""
 
     async def EntrySession(self, request_iterator: object, context: typing.Any) -> None:  # noqa: N802
@@ -28,10 +31,10 @@
 
 
 class SessionTestCase(unittest.IsolatedAsyncioTestCase):
-    """An entry and agents in one process; agents and entry may have different views."""
+    """Runs an entry and agents in one process. Agents and entry may have different views."""
 
     async def start_fleet(self, count: int, limit: int = 2) -> None:
-        self.agents = [dispatch_fleet.AgentProcess(f"agent-{n}", limit) for n in range(count)]
+        self.agents = [dispatch_fleet.InProcessAgent(f"agent-{n}", limit) for n in range(count)]
         instances = [agent.instance for agent in self.agents]
         self.agent_view = dispatch_fleet.FakeView(instances)
         self.entry_view = dispatch_fleet.FakeView(instances)
@@ -40,7 +43,9 @@
         self.service_seconds = 0.02
         self.declines_left = 0
 
-    async def start_agent(self, agent: dispatch_fleet.AgentProcess, **changes: typing.Any) -> None:
+    async def start_agent(
+        self, agent: dispatch_fleet.InProcessAgent, **changes: typing.Any
+    ) -> None:
         await agent.start(self.agent_view, **changes)
         self.addAsyncCleanup(agent.stop)
 
@@ -58,7 +63,7 @@
         self.addAsyncCleanup(self.ticket_client.close)
 
     def on_assign(self, assignment: work.Assignment) -> bool:
-        """Run the ticket as the router would; retry it if its slot is not valid."""
+        """Run the ticket as the router does. Retry it if the agent refuses its slot."""
         if self.declines_left:
             self.declines_left -= 1
             self.submit(assignment.ticket_id)
@@ -77,13 +82,13 @@
         for ticket_id in ticket_ids:
             self.ticket_client.submit(dispatch_fleet.ticket(ticket_id, "red", **changes))
 
-    def ranked(self) -> list[dispatch_fleet.AgentProcess]:
+    def ranked(self) -> list[dispatch_fleet.InProcessAgent]:
         instances = [agent.instance for agent in self.agents]
         return [self.by_id[item.id] for item in rendezvous.rank(SERVICE, instances)]
 
     async def assert_started_once(self, count: int) -> None:
         await dispatch_fleet.wait_until(lambda: len(self.started) == count)
-        await asyncio.sleep(0.2)  # Time for a second assignment to show.
+        await asyncio.sleep(0.2)  # Time for an erroneous second assignment to arrive.
         self.assertEqual([1] * count, list(self.started.values()))
 
 
@@ -96,9 +101,9 @@
         await self.assert_started_once(60)
         ledger = self.ranked()[0].dispatcher.ledger
         self.assertTrue(await dispatch_fleet.wait_until(lambda: ledger.included_total == 300.0))
-        self.assertGreater(self.agents[0].source.hop_seconds, 0.0)
+        self.assertGreater(self.agents[0].source.one_way_delay_seconds, 0.0)
 
-    async def test_declined_slots_serve_other_tickets(self) -> None:
+    async def test_declined_slots_are_assigned_to_other_tickets(self) -> None:
         await self.start_fleet(1, limit=1)
         await self.start_agents()
         await self.start_entry()
@@ -108,7 +113,7 @@
         self.assertEqual(3, self.agents[0].dispatcher.declined_slots)
 
     async def test_idle_agent_keeps_usable_slots_and_reports_nothing(self) -> None:
-        """Fails if slots expire without replacement, or if an idle agent keeps reporting."""
+        """Guards against slots that expire without replacement, and reports without changes."""
         await self.start_fleet(1)
         await self.start_agents()
         agent = self.agents[0]
@@ -124,7 +129,7 @@
         await self.assert_started_once(2)
 
     async def test_expired_slots_are_not_assigned(self) -> None:
-        """Fails if a slot is assigned after its agent has stopped honouring it."""
+        """Guards against assigning slots that the agent refuses because they have expired."""
         await self.start_fleet(1)
         await self.start_agents()
         agent = self.agents[0]
@@ -139,17 +144,17 @@
         agent.source.changed.set()
         await self.assert_started_once(1)
 
-    async def test_short_calls_wait_for_no_timer(self) -> None:
-        """Fails if offers or assignments wait for a period of 200 ms or 500 ms."""
+    async def test_short_calls_are_not_delayed_by_timers(self) -> None:
+        """Guards against offers or assignments that wait for a timer of 200 ms or 500 ms."""
         await self.start_fleet(1, limit=1)
         await self.start_agents()
         await self.start_entry()
         self.service_seconds = 0.0
-        begun = time.monotonic()
+        started_at = time.monotonic()
         for number in range(100):
             self.submit(f"t{number}")
             await dispatch_fleet.wait_until(lambda count=number: len(self.started) > count)
-        self.assertLess(time.monotonic() - begun, 100 * 0.1)
+        self.assertLess(time.monotonic() - started_at, 100 * 0.1)
 
     async def test_withdrawn_ticket_is_not_assigned(self) -> None:
         await self.start_fleet(1, limit=1)
@@ -160,7 +165,7 @@
         await self.assert_started_once(2)
         self.assertEqual({"t1", "t3"}, set(self.started))
 
-    async def test_retracted_agent_gets_no_work(self) -> None:
+    async def test_retracted_agent_is_assigned_no_work(self) -> None:
         await self.start_fleet(2, limit=1)
         await self.start_agents()
         retracted = self.agents[0]
@@ -175,8 +180,8 @@
         self.assertEqual({}, retracted.source.counters)
 
 
-class TakeoverTest(SessionTestCase):
-    async def test_standby_takes_over_without_losing_or_doubling_a_ticket(self) -> None:
+class FailoverTest(SessionTestCase):
+    async def test_failover_to_the_standby_starts_every_ticket_exactly_once(self) -> None:
         await self.start_fleet(3)
         await self.start_agents()
         await self.start_entry()
@@ -188,7 +193,7 @@
         self.assertEqual(second.agent_id, self.ticket_client.dispatcher_of(SERVICE))
 
     async def test_standby_continues_the_virtual_times(self) -> None:
-        """Fails if the standby starts from zero or charges the past again."""
+        """Guards against a standby that starts from zero or charges earlier service again."""
         await self.start_fleet(3)
         await self.start_agents()
         await self.start_entry()
@@ -196,18 +201,21 @@
         self.submit(*(f"t{number}" for number in range(400)))
         await dispatch_fleet.wait_until(lambda: second.dispatcher.ledger.candidate is not None)
         await first.stop()
-        await dispatch_fleet.wait_until(lambda: second.dispatcher.turn > 0)
+        await dispatch_fleet.wait_until(lambda: second.dispatcher.dispatch_total > 0)
         await self.assert_started_once(400)
         ledger = second.dispatcher.ledger
-        rendered = sum(agent.source.counters.get("red", 0.0) for agent in self.agents)
-        # What the first dispatcher's own agent rendered after its last report is not reported.
+        provided = sum(agent.source.counters.get("red", 0.0) for agent in self.agents)
+        # The stopped agent does not report the service it provided after its last report.
         unreported = first.source.counters.get("red", 0.0)
-        await dispatch_fleet.wait_until(lambda: ledger.included_total >= rendered - unreported)
-        self.assertLessEqual(rendered - unreported, ledger.included_total)
-        self.assertLessEqual(ledger.included_total, rendered)
+        await dispatch_fleet.wait_until(lambda: ledger.included_total >= provided - unreported)
+        self.assertLessEqual(provided - unreported, ledger.included_total)
+        self.assertLessEqual(ledger.included_total, provided)
+
+    async def test_new_dispatcher_receives_the_snapshot_with_hello(self) -> None:
+        """Guards against a newly started dispatcher that starts from zero.
 
-    async def test_new_dispatcher_gets_the_snapshot_with_hello(self) -> None:
-        """Fails if a dispatcher that starts after the loss of both others starts from zero."""
+        It never had a session with its predecessors, so agents must send it the snapshot.
+        """
         await self.start_fleet(3)
         first, second, third = self.ranked()
         for agent in (second, third):
@@ -221,13 +229,13 @@
         included = third.offers.snapshot.included_total
         for view in (self.agent_view, self.entry_view):
             view.suspected.clear()
-            view.changed()
+            view.notify_subscribers()
         await self.assert_started_once(100)
         self.assertGreaterEqual(first.dispatcher.ledger.included_total, included)
         self.assertGreater(first.dispatcher.restoration_deadline, 0.0, "no snapshot adopted")
 
-    async def test_slots_follow_the_tickets_to_the_standby(self) -> None:
-        """Fails if slots idle at a primary that the entries cannot reach."""
+    async def test_slots_are_offered_to_the_standby_if_only_it_has_tickets(self) -> None:
+        """Guards against slots that stay idle at a primary that the entries cannot reach."""
         await self.start_fleet(2)
         await self.start_agents()
         first, second = self.ranked()
@@ -238,33 +246,36 @@
         await self.assert_started_once(20)
         self.assertEqual(second.agent_id, self.ticket_client.dispatcher_of(SERVICE))
 
-    async def test_slots_come_back_from_a_dispatcher_that_leaves(self) -> None:
-        """Fails if free slots stay with a dispatcher whose zone is out until they expire, so that
-        the new one has none to assign for up to 2 s (P4: the work goes on elsewhere)."""
+    async def test_dispatcher_taken_out_of_service_returns_free_slots(self) -> None:
+        """Guards against free slots that stay with a dispatcher whose zone is out of service.
+
+        The new dispatcher then has no slots to assign until they expire, for up to 2 s, although
+        work must continue in the other zones (P4).
+        """
         await self.start_fleet(4)
         await self.start_agents()
         first, second, *_ = self.ranked()
         await dispatch_fleet.wait_until(lambda: first.dispatcher.free_slots == 8)
-        # Only the dispatcher's return frees a slot; no other one expires within the test.
+        # No slot expires within the test, so that slots are freed only when they are returned.
         for agent in self.agents:
             agent.source.slots = dict.fromkeys(agent.source.slots, time.monotonic() + 60.0)
         first.source.limit = 0
-        self.agent_view.out.add(first.agent_id)
-        self.agent_view.changed()
+        self.agent_view.out_of_service.add(first.agent_id)
+        self.agent_view.notify_subscribers()
         self.assertTrue(
             await dispatch_fleet.wait_until(lambda: second.dispatcher.free_slots == 6, 5.0)
         )
         self.assertEqual(0, first.dispatcher.free_slots)
         self.assertTrue(
             await dispatch_fleet.wait_until(lambda: not first.dispatcher.agent_peers()),
-            "the sessions stay open",
+            "the agent sessions are still open",
         )
 
-    async def test_frozen_dispatcher_is_left(self) -> None:
-        """Fails if an entry or an agent waits for good for a dispatcher without pongs."""
+    async def test_unresponsive_dispatcher_is_replaced(self) -> None:
+        """Guards against an entry or agent that waits forever for pongs of a dispatcher."""
         await self.start_fleet(2)
         first, second = self.ranked()
-        masticward_pb2_grpc.add_DispatchServicer_to_server(FrozenServicer(), first.server)
+        masticward_pb2_grpc.add_DispatchServicer_to_server(UnresponsiveServicer(), first.server)
         await first.server.start()
         self.addAsyncCleanup(first.server.stop, None)
         await self.start_agent(second)
@@ -274,8 +285,8 @@
         self.assertIn(first.agent_id, self.entry_view.suspected)
         self.assertIn(first.agent_id, self.agent_view.suspected)
 
-    async def test_session_outlives_a_view_without_candidates(self) -> None:
-        """Fails if an entry that is cut off leaves a dispatcher that still answers it."""
+    async def test_session_is_kept_while_the_view_has_no_candidates(self) -> None:
+        """Guards against a partitioned entry that ends a session that still works."""
         await self.start_fleet(1)
         await self.start_agents()
         await self.start_entry()
@@ -285,8 +296,8 @@
         self.submit("t2")
         await self.assert_started_once(2)
 
-    async def test_silent_entry_loses_its_tickets(self) -> None:
-        """Fails if a frozen entry keeps a place in the queue."""
+    async def test_tickets_of_an_unresponsive_entry_are_dropped(self) -> None:
+        """Guards against tickets of a paused entry that stay in the queue."""
         await self.start_fleet(1)
         await self.start_agents()
         agent = self.agents[0]
--- a/tests/lib/dispatch_fleet.py
+++ b/tests/lib/dispatch_fleet.py
@@ -1,4 +1,4 @@
-"""Builders and fakes for tests of the dispatch part."""
+"""Builders and fakes for tests of dispatchers, entry sessions and agent sessions."""
 
 import asyncio
 import collections.abc
@@ -58,7 +58,7 @@
 
 
 class FakeView(fleet_view.FleetView):
-    """A view whose content the test sets. A suspected agent stays suspected."""
+    """A fleet view whose content the test sets. A suspected agent stays suspected."""
 
     def __init__(
         self,
@@ -68,10 +68,10 @@
     ) -> None:
         self.agents = {item.id: item for item in agents}
         self.suspected: set[str] = set()
-        self.out: set[str] = set()
+        self.out_of_service: set[str] = set()
         self.leaving: set[str] = set()
         self.callbacks: list[collections.abc.Callable[[], None]] = []
-        self.content = configuration_models.Configuration(
+        self.fixed_configuration = configuration_models.Configuration(
             version=1,
             availability_zones=(ZONE,),
             services=(service(maximum_cost),),
@@ -83,7 +83,7 @@
 
     @property
     def configuration(self) -> configuration_models.Configuration | None:
-        return self.content
+        return self.fixed_configuration
 
     @property
     def operations(self) -> configuration_models.OperationsState:
@@ -93,11 +93,11 @@
         return list(self.agents.values())
 
     def available_agents(self, service: str) -> list[membership.Instance]:
-        hidden = self.suspected | self.out | self.leaving
-        return [item for item in self.agents.values() if item.id not in hidden]
+        unavailable = self.suspected | self.out_of_service | self.leaving
+        return [item for item in self.agents.values() if item.id not in unavailable]
 
     def is_out_of_service(self, instance_id: str, availability_zone: str) -> bool:
-        return instance_id in self.out
+        return instance_id in self.out_of_service
 
     def is_leaving(self, instance_id: str) -> bool:
         return instance_id in self.leaving
@@ -111,7 +111,7 @@
     def suspect(self, instance_id: str) -> None:
         if instance_id not in self.suspected:
             self.suspected.add(instance_id)
-            self.changed()
+            self.notify_subscribers()
 
     def pull_newer_versions(
         self, config_version: int, operations_version: int, peer_address: str
@@ -124,13 +124,13 @@
     def subscribe(self, callback: collections.abc.Callable[[], None]) -> None:
         self.callbacks.append(callback)
 
-    def changed(self) -> None:
+    def notify_subscribers(self) -> None:
         for callback in self.callbacks:
             callback()
 
 
-class FakeSource(offers.SlotSource):
-    """An endpoint with a fixed limit; the test starts and ends its work."""
+class FakeSlotSource(offers.SlotSource):
+    """An endpoint with a fixed limit, whose calls the test begins and ends."""
 
     def __init__(self, limit: int) -> None:
         self.changed = asyncio.Event()
@@ -141,7 +141,7 @@
         self.counters: dict[str, float] = {}
         self.finished: dict[str, float] = {}
         self.reports = 0
-        self.hop_seconds = 0.0
+        self.one_way_delay_seconds = 0.0
         self.retracted = False
 
     def issue_slots(self) -> offers.SlotOffer:
@@ -158,7 +158,7 @@
             self.slots.pop(slot_id, None)
 
     def begin(self, ticket_id: str, team: str, slot_id: int) -> bool:
-        """Start work as an attempt does; False if the slot is unknown or has expired."""
+        """Begin a call with a slot. Return False if the slot is unknown or has expired."""
         if self.slots.pop(slot_id, 0.0) <= time.monotonic():
             return False
         self.running[ticket_id] = team
@@ -187,7 +187,7 @@
         return self.retracted
 
     def record_one_way_delay(self, seconds: float) -> None:
-        self.hop_seconds = seconds
+        self.one_way_delay_seconds = seconds
 
 
 def transport() -> channels.PeerTransport:
@@ -196,14 +196,14 @@
     )
 
 
-class AgentProcess:
-    """An agent's dispatcher, server and offer loop in the test's process."""
+class InProcessAgent:
+    """An agent's dispatcher, gRPC server and offer loop, run in the test's process."""
 
     def __init__(self, agent_id: str, limit: int = 2) -> None:
         self.agent_id = agent_id
         self.transport = transport()
         self.pool = channels.ChannelPool(self.transport)
-        self.source = FakeSource(limit)
+        self.source = FakeSlotSource(limit)
         self.server: grpc.aio.Server = self.transport.create_server()
         self.port = self.transport.bind(self.server, f"{HOST}:0")
         self.instance = agent(agent_id, f"{HOST}:{self.port}")
@@ -232,7 +232,7 @@
 
 
 async def wait_until(condition: collections.abc.Callable[[], bool], seconds: float = 10.0) -> bool:
-    """Return whether the condition became true; the bound only ends a failing test."""
+    """Wait until the condition holds, and return whether it does. ``seconds`` is a time-out."""
     deadline = time.monotonic() + seconds
     while not condition() and time.monotonic() < deadline:
         await asyncio.sleep(0.01)
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Guards against slots and reservations that are lost, reused or given to the wrong agent."""
+"""Guards against slots and cost reservations that are lost, reused or kept for good."""
 
 import time
 import unittest
@@ -56,18 +56,18 @@
     def reserved(self) -> float:
         return self.dispatcher.ledger.account_of("red").reserved
 
-    def test_declined_valid_slot_serves_the_next_ticket(self) -> None:
+    def test_declined_valid_slot_is_assigned_to_the_next_ticket(self) -> None:
         peer = self.open_agent("agent-1")
         self.enqueue("t1", "t2")
         self.offer(peer, 7)
         first = self.assignments()[0]
         self.decline(first, slot_valid=True)
         second = self.assignments()[0]
-        self.assertEqual(("t1", 7, "t2", 7), (*ids(first), *ids(second)))
+        self.assertEqual(("t1", 7, "t2", 7), (*ticket_and_slot(first), *ticket_and_slot(second)))
         self.decline(first, slot_valid=True)
         self.assertEqual(0, self.dispatcher.free_slots, "a slot was freed twice")
 
-    def test_declined_invalid_slot_is_forgotten(self) -> None:
+    def test_declined_invalid_slot_is_discarded(self) -> None:
         peer = self.open_agent("agent-1")
         self.enqueue("t1", "t2")
         self.offer(peer, 7)
@@ -75,7 +75,7 @@
         self.assertEqual([], self.assignments())
         self.assertEqual((0, 0.0), (self.dispatcher.free_slots, self.reserved()))
 
-    def test_slot_near_its_deadline_is_returned_not_assigned(self) -> None:
+    def test_slot_close_to_its_deadline_is_returned_and_not_assigned(self) -> None:
         peer = self.open_agent("agent-1")
         self.offer(peer, 7, seconds=0.4)
         self.enqueue("t1")
@@ -88,20 +88,22 @@
         self.enqueue("late", deadline=time.monotonic() - 0.001)
         self.enqueue("t1")
         self.offer(peer, 7)
-        self.assertEqual([("t1", 7)], [ids(item) for item in self.assignments()])
+        self.assertEqual([("t1", 7)], [ticket_and_slot(item) for item in self.assignments()])
 
-    def test_agents_that_may_not_receive_work_keep_their_slots(self) -> None:
-        for hidden in (self.view.out, self.view.leaving, self.view.suspected):
-            with self.subTest(hidden=hidden):
+    def test_unavailable_agent_keeps_its_slots_until_available_again(self) -> None:
+        for unavailable in (self.view.out_of_service, self.view.leaving, self.view.suspected):
+            with self.subTest(unavailable=unavailable):
                 peer = self.open_agent("agent-1")
-                hidden.add("agent-1")
+                unavailable.add("agent-1")
                 self.dispatcher.tick()
                 self.enqueue("t1")
                 self.offer(peer, 7)
                 self.assertEqual([], self.assignments())
-                hidden.clear()
+                unavailable.clear()
                 self.dispatcher.tick()
-                self.assertEqual([("t1", 7)], [ids(item) for item in self.assignments()])
+                self.assertEqual(
+                    [("t1", 7)], [ticket_and_slot(item) for item in self.assignments()]
+                )
 
     def test_slots_are_spread_over_agents(self) -> None:
         for agent_id in ("agent-1", "agent-2"):
@@ -110,7 +112,7 @@
         agents = [item.slot.agent_id for item in self.assignments()]
         self.assertEqual([2, 2], [agents.count("agent-1"), agents.count("agent-2")])
 
-    def test_lost_agent_session_ends_reservations_and_drops_slots(self) -> None:
+    def test_closed_agent_session_ends_reservations_and_drops_slots(self) -> None:
         peer = self.open_agent("agent-1")
         self.offer(peer, 1, 2)
         self.enqueue("t1")
@@ -120,7 +122,7 @@
         self.enqueue("t2")
         self.assertEqual(["t1"], [item.ticket_id for item in self.assignments()])
 
-    def test_lost_entry_session_drops_tickets_and_frees_undelivered_slots(self) -> None:
+    def test_closed_entry_session_drops_tickets_and_frees_slots_of_unsent_assignments(self) -> None:
         peer = self.open_agent("agent-1")
         self.offer(peer, 7)
         self.enqueue("t1", "t2")
@@ -133,17 +135,17 @@
         self.assertEqual(0, self.dispatcher.waiting)
         self.assertEqual(0.0, self.reserved())
 
-    def test_old_session_of_an_agent_does_not_end_the_new_one(self) -> None:
+    def test_closing_a_replaced_agent_session_keeps_the_new_one(self) -> None:
         old = self.open_agent("agent-1")
         new = self.open_agent("agent-1", incarnation=2)
         self.dispatcher.close_agent(old)
         self.offer(old, 1)
         self.offer(new, 2)
         self.enqueue("t1", "t2")
-        self.assertEqual([("t1", 2)], [ids(item) for item in self.assignments()])
+        self.assertEqual([("t1", 2)], [ticket_and_slot(item) for item in self.assignments()])
         self.assertFalse(self.dispatcher.open_agent(old, None), "accepted an old incarnation")
 
-    def test_cancel_after_assignment_leaves_the_slot_to_the_decline(self) -> None:
+    def test_slot_of_a_ticket_cancelled_after_assignment_is_freed_by_the_decline(self) -> None:
         peer = self.open_agent("agent-1")
         self.offer(peer, 7)
         self.enqueue("t1")
@@ -152,8 +154,11 @@
         self.decline(self.assignments()[0], slot_valid=True)
         self.assertEqual((1, 0.0), (self.dispatcher.free_slots, self.reserved()))
 
-    def test_assignment_that_never_reached_its_agent_ends(self) -> None:
-        """Fails if the reservation of an entry that died stays for good."""
+    def test_assignment_that_never_reaches_its_agent_is_ended(self) -> None:
+        """Guards against reservations that are never released after an entry crashes.
+
+        The entry crashes after it was assigned a slot, so that its agent never reports the ticket.
+        """
         peer = self.open_agent("agent-1")
         self.offer(peer, 1, 2)
         self.enqueue("t1", "t2")
@@ -166,13 +171,13 @@
         self.dispatcher.tick()
         self.assertEqual(["t2"], list(self.dispatcher.dispatched))
 
-    def test_retried_ticket_goes_to_the_front_of_its_team(self) -> None:
+    def test_retried_ticket_is_assigned_before_others_of_its_team(self) -> None:
         self.enqueue("t1")
         self.enqueue("t2", retried=True)
         self.offer(self.open_agent("agent-1"), 7)
-        self.assertEqual([("t2", 7)], [ids(item) for item in self.assignments()])
+        self.assertEqual([("t2", 7)], [ticket_and_slot(item) for item in self.assignments()])
 
-    def test_equal_split_by_entry_gives_entries_equal_turns(self) -> None:
+    def test_equal_split_by_entry_alternates_between_entries(self) -> None:
         self.dispatcher = dispatcher_module.Dispatcher(
             self.view, dispatch_fleet.SERVICE, settings.QueuePolicyName.EQUAL_SPLIT_BY_ENTRY
         )
@@ -184,7 +189,7 @@
         self.assertEqual(["a1", "b1", "a2", "b2"], names)
 
 
-def ids(assignment: work.Assignment) -> tuple[str, int]:
+def ticket_and_slot(assignment: work.Assignment) -> tuple[str, int]:
     return assignment.ticket_id, assignment.slot.id
 
 
--- a/tests/unit/test_snapshots.py
+++ b/tests/unit/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Guards against snapshots that change on the wire or crowd out other control traffic."""
+"""Guards against snapshots that are corrupted in transit or use too much control traffic."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 from tests.lib import dispatch_fleet
 
 
-def received(
+def apply_from_wire(
     receiver: snapshots.SnapshotReceiver, message: masticward_pb2.DispatcherToAgent
 ) -> bool:
     wire = message.SerializeToString()
@@ -22,7 +22,7 @@
 
 
 def content(snapshot: ledger.Snapshot) -> tuple[object, ...]:
-    """Return what a snapshot says, whatever the order of its entries."""
+    """Return the content of a snapshot without the order of its entries."""
     return (
         snapshot.system_virtual_time,
         snapshot.included_total,
@@ -31,64 +31,67 @@
     )
 
 
-def snapshot_of(chance: random.Random, serial: int) -> ledger.Snapshot:
-    """Return a snapshot in which teams come and go and agents restart."""
-    teams = sorted(chance.sample([f"team-{n}" for n in range(8)], chance.randint(0, 8)))
-    agents = [(f"agent-{n}", chance.choice((7, 8))) for n in range(4) if chance.random() < 0.8]
+def random_snapshot(rng: random.Random, serial: int) -> ledger.Snapshot:
+    """Return a snapshot with random teams, agents and agent incarnations."""
+    teams = sorted(rng.sample([f"team-{n}" for n in range(8)], rng.randint(0, 8)))
+    agents = [(f"agent-{n}", rng.choice((7, 8))) for n in range(4) if rng.random() < 0.8]
     return ledger.Snapshot(
         system_virtual_time=float(serial),
         teams=tuple(
-            ledger.TeamTime(team, float(chance.randint(0, 3)), float(chance.randint(0, 2)))
+            ledger.TeamTime(team, float(rng.randint(0, 3)), float(rng.randint(0, 2)))
             for team in teams
         ),
         included=tuple(
-            ledger.CounterEntry(agent_id, incarnation, team, float(chance.randint(1, 3)))
+            ledger.CounterEntry(agent_id, incarnation, team, float(rng.randint(1, 3)))
             for agent_id, incarnation in agents
             for team in teams
-            if chance.random() < 0.6
+            if rng.random() < 0.6
         ),
-        included_total=float(chance.randint(0, 9)),
+        included_total=float(rng.randint(0, 9)),
     )
 
 
 class PartialSnapshotTest(unittest.IsolatedAsyncioTestCase):
-    def test_changes_lead_to_the_same_snapshot(self) -> None:
-        """Fails if a change is lost, or if a removed team or agent comes back with old values."""
-        chance = random.Random(5)
+    def test_partial_snapshots_reproduce_the_full_snapshot(self) -> None:
+        """Guards against lost changes, and removed teams or agents that return with old values."""
+        rng = random.Random(5)
         with unittest.mock.patch.object(snapshots, "SPARE_NUMBERS", 6):
             writer = snapshots.SnapshotWriter(dispatch_fleet.SERVICE)
             receivers = {period: snapshots.SnapshotReceiver() for period in (1, 2, 5, 20)}
             partial = 0
             for serial in range(1, 600):
-                snapshot = snapshot_of(chance, serial)
+                snapshot = random_snapshot(rng, serial)
                 writer.add(snapshot)
                 for period, receiver in receivers.items():
                     if serial % period == 0:
                         message = writer.message_since(receiver.sequence)
                         partial += message.snapshot.base_sequence > 0
-                        self.assertTrue(received(receiver, message))
+                        self.assertTrue(apply_from_wire(receiver, message))
                         self.assertEqual(content(snapshot), content(receiver.snapshot()))
             self.assertGreater(partial, 300)
 
     def test_receiver_without_the_base_waits_for_a_full_snapshot(self) -> None:
-        chance = random.Random(6)
+        rng = random.Random(6)
         writer = snapshots.SnapshotWriter(dispatch_fleet.SERVICE)
         receiver = snapshots.SnapshotReceiver()
-        first, second, third = (snapshot_of(chance, serial) for serial in (1, 2, 3))
+        first, second, third = (random_snapshot(rng, serial) for serial in (1, 2, 3))
         writer.add(first)
-        self.assertTrue(received(receiver, writer.message_since(0)))
+        self.assertTrue(apply_from_wire(receiver, writer.message_since(0)))
         writer.add(second)
         writer.add(third)
-        self.assertFalse(received(receiver, writer.message_since(2)))
-        self.assertFalse(received(snapshots.SnapshotReceiver(), writer.message_since(1)))
+        self.assertFalse(apply_from_wire(receiver, writer.message_since(2)))
+        self.assertFalse(apply_from_wire(snapshots.SnapshotReceiver(), writer.message_since(1)))
         self.assertEqual(content(first), content(receiver.snapshot()))
-        self.assertTrue(received(receiver, writer.message_since(0)))
+        self.assertTrue(apply_from_wire(receiver, writer.message_since(0)))
         self.assertEqual(content(third), content(receiver.snapshot()))
 
-    def test_unknown_number_ends_the_session_and_is_not_built_upon(self) -> None:
-        """Fails if a damaged change ends the agent's session task for ever, or leaves a mixture."""
+    def test_unknown_team_number_raises_and_requires_a_full_snapshot(self) -> None:
+        """Guards against an invalid change that stops the session task or is partly applied.
+
+        The error must be one that the session handles by reconnecting.
+        """
         writer = snapshots.SnapshotWriter(dispatch_fleet.SERVICE)
-        writer.add(snapshot_of(random.Random(1), 1))
+        writer.add(random_snapshot(random.Random(1), 1))
         receiver = snapshots.SnapshotReceiver()
         receiver.apply(writer.message_since(0).snapshot)
         damaged = masticward_pb2.Snapshot(sequence=2, base_sequence=1)
@@ -98,10 +101,11 @@
         self.assertFalse(receiver.apply(masticward_pb2.Snapshot(sequence=3, base_sequence=1)))
         self.assertTrue(receiver.apply(writer.message_since(0).snapshot))
 
-    def test_an_agent_gets_changes_and_now_and_then_a_full_snapshot(self) -> None:
-        """Fails if an agent that has the base gets everything, or one that lacks it gets nothing.
+    def test_agent_receives_changes_and_periodically_a_full_snapshot(self) -> None:
+        """Guards against full snapshots to agents that have the base, and against their absence.
 
-        Also fails if names or unchanged totals travel again.
+        An agent without the base needs a full snapshot. Changes must not repeat names or unchanged
+        totals.
         """
         writer = snapshots.SnapshotWriter(dispatch_fleet.SERVICE)
         peer = dispatch_fleet.agent_peer("agent-1")
@@ -124,18 +128,21 @@
         self.assertEqual([0, 1, 2, 3, 4, 0, 6], bases)
         self.assertLess(max(sizes[1:5]), 50)
 
-    async def test_own_dispatcher_gets_a_full_snapshot_when_the_sender_changes(self) -> None:
-        """Fails if the standby misses what the primary sent before their session began."""
+    async def test_local_dispatcher_receives_a_full_snapshot_when_the_sender_changes(self) -> None:
+        """Guards against a standby without the snapshots that were sent before its session began.
+
+        It would have to apply changes without the snapshot that they are based on.
+        """
         agents = [dispatch_fleet.agent(f"agent-{n}") for n in range(3)]
         first, own, third = rendezvous.rank(dispatch_fleet.SERVICE, agents)
         loop = offers.OfferLoop(
-            dispatch_fleet.FakeView(agents), None, dispatch_fleet.FakeSource(1), own, 1
+            dispatch_fleet.FakeView(agents), None, dispatch_fleet.FakeSlotSource(1), own, 1
         )
-        passed: list[masticward_pb2.Snapshot] = []
+        forwarded: list[masticward_pb2.Snapshot] = []
         session = offers.DispatcherSession(loop, own)
-        session.link = types.SimpleNamespace(pass_snapshot=passed.append)
+        session.link = types.SimpleNamespace(pass_snapshot=forwarded.append)
         loop.sessions = {("own", ""): session}
-        chance = random.Random(7)
+        rng = random.Random(7)
         at_standby = snapshots.SnapshotReceiver()
         for sender in (
             offers.DispatcherSession(loop, first),
@@ -143,27 +150,27 @@
         ):
             writer = snapshots.SnapshotWriter(dispatch_fleet.SERVICE)
             for serial in range(1, 6):
-                newest = snapshot_of(chance, serial)
+                newest = random_snapshot(rng, serial)
                 newest = ledger.Snapshot(
                     system_virtual_time=1.0,
                     teams=newest.teams,
                     included=newest.included,
-                    included_total=float(len(passed)),
+                    included_total=float(len(forwarded)),
                 )
                 writer.add(newest)
-                message = writer.message_since(sender.received.sequence)
+                message = writer.message_since(sender.snapshot_receiver.sequence)
                 if serial == 3:
-                    session.passed = None  # As after a new link.
+                    session.forwarded = None  # As after a reconnect.
                     at_standby = snapshots.SnapshotReceiver()
                 sender.on_snapshot(message.snapshot)
-                self.assertTrue(at_standby.apply(passed[-1]))
+                self.assertTrue(at_standby.apply(forwarded[-1]))
                 self.assertEqual(content(newest), content(at_standby.snapshot()))
-        partial = [message.base_sequence > 0 for message in passed]
+        partial = [message.base_sequence > 0 for message in forwarded]
         self.assertEqual([False, True, False, True, True] * 2, partial)
 
 
 class SnapshotTest(unittest.IsolatedAsyncioTestCase):
-    def test_survives_the_wire(self) -> None:
+    def test_round_trip_through_protobuf_preserves_the_snapshot(self) -> None:
         teams = tuple(ledger.TeamTime(f"team-{n}", 1.5 * n, 2.0 + n) for n in range(3))
         included = (
             ledger.CounterEntry("agent-1", 2**60 + 1, "team-2", 7.25),
@@ -176,8 +183,8 @@
         wire = snapshots.to_wire(dispatch_fleet.SERVICE, snapshot).SerializeToString()
         self.assertEqual(snapshot, snapshots.from_wire(masticward_pb2.Snapshot.FromString(wire)))
 
-    async def test_only_candidates_get_every_large_snapshot(self) -> None:
-        """Fails if snapshots of many teams take more than an agent's control traffic."""
+    async def test_only_candidates_receive_every_large_snapshot(self) -> None:
+        """Guards against snapshots of many teams that exceed an agent's control traffic budget."""
         agents = [dispatch_fleet.agent(f"agent-{n}") for n in range(5)]
         role = dispatcher.Dispatcher(
             dispatch_fleet.FakeView(agents),
