--- a/src/masticward/coordination/agent_metrics.py
+++ b/src/masticward/coordination/agent_metrics.py
@@ -1,4 +1,7 @@
-"""Metrics of an agent. Labels are bounded: refusal reasons only."""
+"""Prometheus metrics of an agent.
+
+The refusal reason is the only label, which bounds the number of time series.
+"""
 
 import prometheus_client
 
--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -15,8 +15,8 @@
 from masticward.utils import tasks
 
 LOG = logs.get_logger(__name__)
-# Slots closer to their deadline are not assigned: the assignment still has to reach the entry, and
-# the attempt the agent, before the slot expires.
+# Slots closer to their deadline than this are not assigned, because the assignment still has to
+# reach the entry, and the attempt the agent, before the slot expires.
 SLOT_EXPIRY_MARGIN_SECONDS = 0.5
 # A dispatched ticket that its agent does not report within this time after the slot's deadline is
 # assumed never to have reached the agent. Agents report staged runs only once they start, so this
@@ -56,7 +56,9 @@
         self.reported_load = 0
         # Number of the latest dispatch to this agent. Between equal loads the lowest goes first.
         self.last_dispatch = 0
+        # How many of the free slots are included in the dispatcher's ``free_slot_count``.
         self.counted_free = 0
+        # The agent's item in the dispatcher's ``agent_order``, None if it is not in it.
         self.position: tuple[float, int, str] | None = None
 
     @property
@@ -102,11 +104,14 @@
         policy = fair_queue.create_policy(policy_name, self.ledger)
         self.queue = fair_queue.FairQueue(policy, self.ledger)
         self.entries: dict[str, dispatch_role.EntryPeer] = {}
+        # The session that queued each waiting ticket, by ticket id.
         self.ticket_entries: dict[str, dispatch_role.EntryPeer] = {}
         self.agents: dict[str, AgentSlots] = {}
+        # Load, latest dispatch and id of each agent that has free slots, in the order of choice.
         self.agent_order: sortedcontainers.SortedList = sortedcontainers.SortedList()
         self.available: frozenset[str] = frozenset()
         self.dispatched: dict[str, DispatchedTicket] = {}
+        # The dispatched tickets that their agents have not reported yet.
         self.unstarted: dict[str, DispatchedTicket] = {}
         self.dispatched_by_team: collections.Counter[str] = collections.Counter()
         self.dispatch_total = 0
@@ -477,7 +482,7 @@
         )
 
     def take_snapshot(self) -> ledger.Snapshot | None:
-        """Return a snapshot, or None if no service or dispatch was recorded since the last one."""
+        """Return a snapshot, None if neither service nor dispatches were added since the last."""
         state = (self.ledger.included_total, self.dispatch_total)
         if state == self.snapshot_state or not self.ledger.active:
             return None
--- a/src/masticward/coordination/endpoint_runner.py
+++ b/src/masticward/coordination/endpoint_runner.py
@@ -1,4 +1,4 @@
-"""The agent's side of an attempt: admission, staging, running, and the reports about them."""
+"""Admits, stages and runs attempts at an agent's endpoint, and reports their cost."""
 
 import asyncio
 import collections.abc
@@ -23,16 +23,19 @@
 
 DEFAULT_LOAD_PERIOD_SECONDS = 0.5
 LOAD_TIMEOUT_SECONDS = 1.0
-# A load report is taken to show the endpoint as it was at most this long before it was asked for.
+# A load report is assumed to show the endpoint's state at most this long before the request for it.
 DEFAULT_REPORT_LAG_SECONDS = 1.0
 RETRY_AFTER_MS = 50
-# Bounds what is kept while no dispatcher takes reports.
-FINISHED_KEPT = 20_000
+# Bounds the memory for final costs while no dispatcher receives reports.
+MAXIMUM_FINISHED_TICKETS = 20_000
 Reason = work.RefusalReason
 
 
 class EndpointRunner(offers.SlotSource, attempt_server.AttemptRunner):
-    """Runs attempts at one endpoint. ``start`` must be called before the first attempt."""
+    """Runs attempts at one endpoint. ``start`` must be called before the first attempt.
+
+    An admitted run is staged first. It starts once the admission limit has room for it.
+    """
 
     def __init__(
         self,
@@ -52,7 +55,7 @@
         self.incarnation = incarnation
         self.load_period_seconds = load_period_seconds
         self.changed = asyncio.Event()
-        self.idle = asyncio.Event()
+        self.runs_changed = asyncio.Event()
         self.checks = admission_checks.AdmissionChecks(
             view, instance, incarnation, service_name, self.is_stopping
         )
@@ -66,11 +69,11 @@
         self.open_streams = 0
         self.draining = False
         self.endpoint_leaving = False
-        self.opened = False
+        self.admission_opened = False
         self.report_missing = False
-        # Whether the dispatcher last told that tickets wait there.
-        self.work_waits = False
-        self.tasks = tasks.TaskGroup()
+        # Whether tickets wait at the dispatcher, according to its latest pong.
+        self.dispatcher_has_tickets = False
+        self.background = tasks.TaskGroup()
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.metrics = agent_metrics.AgentMetrics(process_metrics or metrics.ProcessMetrics())
         self.logger = logs.get_logger(__name__)
@@ -78,17 +81,17 @@
     # Life cycle
 
     def start(self) -> None:
-        """Begin to read load reports and to follow the view."""
+        """Start to poll load reports, and subscribe to changes of the fleet view."""
         self.view.subscribe(self.reconcile)
-        self.tasks.spawn(self.poll_load(), "poll load report")
+        self.background.spawn(self.poll_load(), "poll load report")
         self.reconcile()
 
     def is_stopping(self) -> bool:
-        """Tell whether this agent or its endpoint is about to stop."""
+        """Return whether this agent or its endpoint is about to stop."""
         return self.draining or self.endpoint_leaving
 
     def begin_drain(self) -> None:
-        """Refuse new attempts and those that wait; running ones finish."""
+        """Refuse new and staged attempts from now on. Running ones finish."""
         if self.draining:
             return
         self.draining = True
@@ -99,27 +102,27 @@
         self.reconcile()
 
     async def drained(self) -> None:
-        """Wait until nothing runs or waits and every stream has been handed over."""
+        """Wait until no run is running or staged and all response streams have ended."""
         while self.running or self.staged or self.open_streams:
-            self.idle.clear()
-            await self.idle.wait()
+            self.runs_changed.clear()
+            await self.runs_changed.wait()
 
     async def close(self) -> None:
-        """Stop at once; running calls break off and waiting ones do not start."""
+        """Cancel running calls and all background tasks. Staged calls do not start."""
         self.draining = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
-        await self.tasks.cancel()
+        await self.background.cancel()
 
     # Attempts
 
     async def run(
         self, request: attempts.AttemptRequest
     ) -> collections.abc.AsyncGenerator[attempts.AttemptEvent, None]:
-        """Run one attempt at most once and yield its events; the last one ends it.
+        """Run one attempt at most once and yield its events; the last event is final.
 
-        A Refused comes first or right after Accepted. If the iterator is closed early, a waiting
-        call is dropped, a language-model call is cancelled and a plain call runs to its end.
+        Refused is yielded first or directly after Accepted. If the iterator is closed early, a
+        staged call is removed, a language-model call is cancelled and a plain call continues.
         """
         refusal = self.admit(request)
         if refusal is not None:
@@ -134,53 +137,53 @@
             ended = False
             while not ended:
                 event = await run.events.get()
-                ended = isinstance(event, run_execution.LAST_EVENTS)
+                ended = isinstance(event, run_execution.FINAL_EVENTS)
                 yield event
         finally:
             self.open_streams -= 1
-            self.leave(run)
+            self.on_stream_closed(run)
 
     def admit(self, request: attempts.AttemptRequest) -> attempts.Refused | None:
-        """Take the attempt in or tell why not. Its slot is used up in both cases."""
+        """Admit the attempt, or return its refusal. An attempt uses up its slot either way."""
         now = time.monotonic()
         reason = self.checks.check_target(request)
         if reason is None and self.attempts.is_known(request.attempt_id):
             reason = Reason.DUPLICATE_ATTEMPT
         if reason is None:
             turnaround = self.slots.age(request.slot_id, now)
-            if turnaround is not None and self.work_waits:
+            if turnaround is not None and self.dispatcher_has_tickets:
                 self.capacity.depth.note_turnaround(turnaround)
             slot_reason = self.slots.take(request.slot_id, now)
-            reason = self.checks.on_arrival(request) or slot_reason
+            reason = self.checks.check_on_arrival(request) or slot_reason
         if reason is None:
-            reason = self.check_room(request, now)
+            reason = self.check_capacity(request, now)
         if reason is not None:
-            return self.refusal_of(request, reason)
+            return self.record_refusal(request, reason)
         self.attempts.accept(request.attempt_id, request.call.deadline, now)
         return None
 
-    def check_room(self, request: attempts.AttemptRequest, now: float) -> Reason | None:
-        """Check the operation and the limit."""
+    def check_capacity(self, request: attempts.AttemptRequest, now: float) -> Reason | None:
+        """Check that the operation is configured and that the agent has capacity."""
         service = self.checks.service
         if service is None or not admission_checks.find_operation(service, request.call.operation):
             return Reason.NO_CONFIGURATION
         return None if self.capacity.room(len(self.staged), now) > 0 else Reason.AT_LIMIT
 
-    def refusal_of(
+    def record_refusal(
         self, request: attempts.AttemptRequest, reason: Reason, detail: str = ""
     ) -> attempts.Refused:
         """Record a refusal and return its event."""
         self.metrics.refusals.labels(reason=reason.value).inc()
-        # A duplicate must not end the reservation of the ticket's attempt that runs.
+        # A refused duplicate must not release the cost reserved for the attempt that is running.
         if all(run.request.ticket_id != request.ticket_id for run in self.running.values()):
-            self.note_finished(request.ticket_id, 0.0)
+            self.add_finished(request.ticket_id, 0.0)
         return attempts.Refused(reason, RETRY_AFTER_MS, detail)
 
-    def leave(self, run: runs.Run) -> None:
-        """Let go of a run whose stream has ended or was closed early."""
-        run.stop_listening()
+    def on_stream_closed(self, run: runs.Run) -> None:
+        """Clean up after a run's stream has ended or was closed early."""
+        run.stop_delivery()
         if self.staged.remove(run):
-            self.note_finished(run.request.ticket_id, 0.0)
+            self.add_finished(run.request.ticket_id, 0.0)
         elif run.task is not None and run.is_model:
             run.task.cancel()
         self.reconcile()
@@ -188,43 +191,46 @@
     # Starting
 
     def reconcile(self) -> None:
-        """Start what may start, refuse what may not, and tell the offer loop."""
-        self.checks.note_view(time.monotonic())
+        """Start or refuse staged runs, and notify the offer loop.
+
+        Must be called after every change of the fleet view, the limit, the load or the runs.
+        """
+        self.checks.track_configuration(time.monotonic())
         service = self.checks.service
         if service is not None:
             self.capacity.limit.set_limits(service.cold_limit, service.warm_limit)
-        self.refuse_unfit()
+        self.refuse_failing_staged()
         if service is not None:
             while self.staged and self.capacity.may_start(service.kind, time.monotonic()):
-                self.launch(self.staged.take_first(), service)
-        self.arm_deadline_timer()
-        self.note_state()
+                self.start_run(self.staged.take_first(), service)
+        self.update_deadline_timer()
+        self.update_metrics()
         self.changed.set()
-        self.idle.set()
+        self.runs_changed.set()
 
-    def refuse_unfit(self) -> None:
-        """Refuse the waiting runs that may not start any more, none of which has started."""
-        for run, reason in self.staged.take_unfit(
-            lambda run: self.checks.on_start(run.request.call.deadline)
+    def refuse_failing_staged(self) -> None:
+        """Refuse staged runs that may no longer start, and those that exceed the capacity."""
+        for run, reason in self.staged.take_failing(
+            lambda run: self.checks.check_on_start(run.request.call.deadline)
         ):
-            self.refuse_waiting(run, reason)
+            self.refuse_staged(run, reason)
         for _ in range(self.capacity.surplus(len(self.staged))):
-            self.refuse_waiting(self.staged.take_last(), Reason.AT_LIMIT)
+            self.refuse_staged(self.staged.take_last(), Reason.AT_LIMIT)
 
-    def refuse_waiting(self, run: runs.Run, reason: Reason) -> None:
-        """End a run that waited."""
+    def refuse_staged(self, run: runs.Run, reason: Reason) -> None:
+        """End a staged run with a refusal."""
         self.logger.log(
             events.Event.STAGED_REFUSED,
             request_id=run.request.call.request_id,
             reason=reason.value,
         )
-        run.events.put_nowait(self.refusal_of(run.request, reason))
+        run.events.put_nowait(self.record_refusal(run.request, reason))
 
-    def launch(self, run: runs.Run, service: configuration_models.Service) -> None:
-        """Start a run's call in a task of its own."""
+    def start_run(self, run: runs.Run, service: configuration_models.Service) -> None:
+        """Start a task for a run's call."""
         operation = admission_checks.find_operation(service, run.request.call.operation)
         if operation is None:
-            self.refuse_waiting(run, Reason.NO_CONFIGURATION)
+            self.refuse_staged(run, Reason.NO_CONFIGURATION)
             return
         now = time.monotonic()
         run.started_at = now
@@ -235,11 +241,11 @@
             self.capacity.awaiting_first_token += 1
         execution = run_execution.RunExecution(self, run, service, operation)
         run.is_model = execution.is_model
-        run.task = self.tasks.spawn(execution.carry_out(), "attempt")
-        run.task.add_done_callback(execution.note_task_end)
+        run.task = self.background.spawn(execution.execute(), "attempt")
+        run.task.add_done_callback(execution.on_task_done)
 
-    def arm_deadline_timer(self) -> None:
-        """Wake up when the next waiting run's deadline passes."""
+    def update_deadline_timer(self) -> None:
+        """Schedule ``reconcile`` for the earliest deadline of the staged runs."""
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
             self.deadline_timer = None
@@ -252,41 +258,44 @@
     # Ending
 
     def release(self, run: runs.Run, confirmed: bool) -> None:
-        """Free the run's slot; ``confirmed`` tells that the endpoint no longer works on it."""
+        """Remove a run and free its capacity.
+
+        ``confirmed`` is whether the endpoint has certainly stopped working on the call.
+        """
         now = time.monotonic()
         if self.running.pop(run.request.attempt_id, None) is None:
             return
         self.capacity.in_flight.end(now, confirmed)
         if run.started_at is not None:
             self.metrics.busy_slot_seconds.inc(now - run.started_at)
-        self.note_finished(run.request.ticket_id, run.cost)
+        self.add_finished(run.request.ticket_id, run.cost)
         self.reconcile()
 
-    def note_finished(self, ticket_id: str, cost: float) -> None:
-        """Keep the final cost of a ticket for the next report."""
+    def add_finished(self, ticket_id: str, cost: float) -> None:
+        """Store the final cost of a ticket for the next report."""
         self.finished[ticket_id] = cost
-        while len(self.finished) > FINISHED_KEPT:
+        while len(self.finished) > MAXIMUM_FINISHED_TICKETS:
             del self.finished[next(iter(self.finished))]
 
-    def go_cold(self, cause: str) -> None:
-        """Return to the cold limit."""
+    def reset_to_cold_limit(self, cause: str) -> None:
+        """Reset admission to the cold limit."""
         self.capacity.limit.go_cold()
-        self.note_cold(cause)
+        self.log_cold(cause)
 
-    def note_cold(self, cause: str) -> None:
-        """Log a return to the cold limit."""
+    def log_cold(self, cause: str) -> None:
+        """Log that admission was reset to the cold limit."""
         self.logger.log(events.Event.ENDPOINT_COLD, cause=cause, limit=self.capacity.limit.limit)
 
     # Load reports
 
     async def poll_load(self) -> None:
-        """Read the load report again and again."""
+        """Poll load reports until cancelled."""
         while True:
-            await self.read_load()
+            await self.poll_load_once()
             await asyncio.sleep(self.load_period_seconds)
 
-    async def read_load(self) -> None:
-        """Read the load report once."""
+    async def poll_load_once(self) -> None:
+        """Request and apply one load report."""
         requested_at = time.monotonic()
         answer = await self.endpoint.load(requested_at + LOAD_TIMEOUT_SECONDS)
         now = time.monotonic()
@@ -295,19 +304,19 @@
             self.capacity.in_flight.note_missing_report(now)
             self.log_report_missing(str(answer.failure()), now)
         else:
-            self.take_report(report, requested_at, now)
+            self.apply_load_report(report, requested_at, now)
         self.reconcile()
 
     def log_report_missing(self, cause: str, now: float) -> None:
-        """Log once that the load report is missing."""
+        """Log that load reports are missing, once until the next report arrives."""
         if not self.report_missing and self.capacity.limit.is_report_missing(now):
             self.report_missing = True
             self.logger.log(events.Event.LOAD_REPORT_MISSING, cause=cause)
 
-    def take_report(
+    def apply_load_report(
         self, report: endpoint_module.LoadReport, requested_at: float, now: float
     ) -> None:
-        """Take a load report into account."""
+        """Update the capacity from a load report. Times are monotonic seconds."""
         if self.report_missing:
             self.report_missing = False
             self.logger.log(events.Event.LOAD_REPORT_BACK)
@@ -316,26 +325,26 @@
         if self.capacity.limit.note_report(
             report.cold, report.incarnation, report.limit_hint, requested_at, now
         ):
-            self.note_cold("load report")
+            self.log_cold("load report")
 
-    # What the offer loop reads
+    # Slot source of the offer loop
 
     def issue_slots(self) -> offers.SlotOffer:
-        """Issue what there is room for."""
+        """Issue slots up to the free capacity."""
         now = time.monotonic()
         room = 0
-        if self.checks.check_standing() is None:
+        if self.checks.check_may_start() is None:
             room = self.capacity.room(len(self.staged), now) - self.slots.issued(now)
         slot_ids, deadline = self.slots.issue(room, now)
         return offers.SlotOffer(slot_ids=slot_ids, deadline=deadline)
 
     def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:
-        """Take back slots that a dispatcher discarded, so that new ones may be issued."""
+        """Reclaim slots that a dispatcher returned, so that new ones may be issued."""
         for slot_id in slot_ids:
             self.slots.take_back(slot_id)
 
     def report(self) -> offers.UsageReport:
-        """Return all counters; the finished tickets are handed over once."""
+        """Return all counters. Each finished ticket is included in one report only."""
         finished, self.finished = self.finished, {}
         return offers.UsageReport(
             counters=self.counters.snapshot(),
@@ -348,25 +357,25 @@
         )
 
     def is_retracted(self) -> bool:
-        """Tell whether the agent is out of service or about to stop."""
+        """Return whether the agent is out of service or about to stop."""
         return self.checks.check_out_of_service() is not None
 
     def record_one_way_delay(self, seconds: float) -> None:
-        """Record a one-way time to the dispatcher in seconds."""
+        """Record a one-way network delay to the dispatcher."""
         self.capacity.depth.note_hop_time(seconds)
 
     def record_waiting_tickets(self, count: int) -> None:
-        """Record how many tickets wait at the dispatcher."""
-        self.work_waits = count > 0
+        """Record the number of tickets that wait at the dispatcher."""
+        self.dispatcher_has_tickets = count > 0
 
     # Metrics
 
-    def note_state(self) -> None:
-        """Bring the gauges up to date and log when admission opens."""
+    def update_metrics(self) -> None:
+        """Update the gauges, and log when admission opens for the first time."""
         self.metrics.running.set(len(self.running))
         self.metrics.earlier.set(self.capacity.in_flight.earlier)
         self.metrics.staged.set(len(self.staged))
         self.metrics.limit.set(self.capacity.limit.limit)
-        if not self.opened and self.capacity.limit.is_open(time.monotonic()):
-            self.opened = True
+        if not self.admission_opened and self.capacity.limit.is_open(time.monotonic()):
+            self.admission_opened = True
             self.logger.log(events.Event.ADMISSION_OPENED, earlier=self.capacity.in_flight.earlier)
--- a/src/masticward/coordination/offers.py
+++ b/src/masticward/coordination/offers.py
@@ -49,7 +49,7 @@
 
     ``counters`` holds the total cost by team; it never decreases within one incarnation.
     ``progress`` holds the cost so far of each running ticket. ``finished`` holds the final cost of
-    the tickets that ended since the last call of ``report``; 0 if the ticket was refused.
+    the tickets that ended since the previous report; 0 if the ticket was refused.
     """
 
     counters: dict[str, float]
@@ -62,7 +62,7 @@
 
 
 class SlotSource(abc.ABC):
-    """The source of slots and usage reports of the offer loop.
+    """Provides the slots that an offer loop offers and the usage that it reports.
 
     ``changed`` is set whenever new slots may be issued or an attempt has ended.
     """
@@ -102,8 +102,8 @@
 class DispatcherSession(dispatch_client.AgentListener):
     """The session with one dispatcher, and the values last reported to it."""
 
-    def __init__(self, loop: "OfferLoop", target: membership.Instance) -> None:
-        self.loop = loop
+    def __init__(self, offer_loop: "OfferLoop", target: membership.Instance) -> None:
+        self.offer_loop = offer_loop
         self.target = target
         self.link: dispatch_client.AgentLink | None = None
         self.waiting = 0
@@ -136,7 +136,7 @@
                 if self.answered or self.backoff_seconds == INITIAL_BACKOFF_SECONDS:
                     LOG.log(
                         events.Event.DISPATCH_SESSION_LOST,
-                        service=self.loop.instance.service,
+                        service=self.offer_loop.instance.service,
                         dispatcher=self.target.id,
                         error=str(error),
                     )
@@ -146,7 +146,7 @@
                 self.offered_until = 0.0
             if self.released:
                 return
-            self.loop.handle_session_loss(self.target)
+            self.offer_loop.handle_session_loss(self.target)
             await asyncio.sleep(self.backoff_seconds)
             self.backoff_seconds = min(MAXIMUM_BACKOFF_SECONDS, 2 * self.backoff_seconds)
 
@@ -166,7 +166,7 @@
 
     def connect(self) -> None:
         """Open a new link and reset what was reported, so that the first report is complete."""
-        self.link = self.loop.open_link(self)
+        self.link = self.offer_loop.open_link(self)
         self.sent_counters.clear()
         self.sent_progress.clear()
         self.sent_load = None
@@ -176,8 +176,8 @@
         self.offered = False
         self.reported_at = 0.0
         self.answered = False
-        self.loop.reported_at = 0.0
-        self.loop.source.changed.set()
+        self.offer_loop.reported_at = 0.0
+        self.offer_loop.source.changed.set()
 
     @property
     def usable(self) -> bool:
@@ -189,17 +189,17 @@
         first, self.answered = not self.answered, True
         self.backoff_seconds = INITIAL_BACKOFF_SECONDS
         self.waiting = waiting
-        self.loop.handle_pong(self, round_trip_seconds, first)
+        self.offer_loop.handle_pong(self, round_trip_seconds, first)
 
     def on_snapshot(self, message: masticward_pb2.Snapshot) -> None:
         """Store the snapshot, which is sent with the next hello message."""
-        self.loop.store_snapshot(self, message)
+        self.offer_loop.store_snapshot(self, message)
 
     def on_returned(self, slot_ids: tuple[int, ...]) -> None:
         """Reclaim the returned slots, so that new ones are issued in their place."""
         self.offered_until = 0.0
-        self.loop.source.reclaim_slots(slot_ids)
-        self.loop.source.changed.set()
+        self.offer_loop.source.reclaim_slots(slot_ids)
+        self.offer_loop.source.changed.set()
 
     def add_finished(self, finished: dict[str, float]) -> None:
         """Store final costs for the next report, unless no slots were offered on this link."""
@@ -259,7 +259,7 @@
         self.sessions: dict[tuple[str, str], DispatcherSession] = {}
         self.ranked: list[tuple[str, str]] = []
         self.snapshot: snapshots.SnapshotReceiver | None = None
-        self.group = tasks.TaskGroup()
+        self.background = tasks.TaskGroup()
         self.reported_at = 0.0
         self.retracted = False
         self.expiries: collections.deque[float] = collections.deque()
@@ -271,8 +271,8 @@
         """Open the sessions and start to offer slots."""
         self.view.subscribe(self.on_view_change)
         self.on_view_change()
-        self.group.spawn(self.offer_continuously(), "offers")
-        self.group.spawn(self.report_periodically(), "offer-reports")
+        self.background.spawn(self.offer_continuously(), "offers")
+        self.background.spawn(self.report_periodically(), "offer-reports")
 
     async def close(self) -> None:
         """Close the sessions. The dispatchers then discard the free slots."""
@@ -280,7 +280,7 @@
         for timer in (self.expiry_timer, self.report_timer):
             if timer is not None:
                 timer.cancel()
-        await self.group.cancel()
+        await self.background.cancel()
 
     def on_view_change(self) -> None:
         """Open and release sessions so that the first two dispatcher candidates have one."""
@@ -296,11 +296,11 @@
         for key in [known for known in self.sessions if known not in self.ranked]:
             session = self.sessions.pop(key)
             session.released = True
-            self.group.spawn(session.release(), f"release-{session.target.id}")
+            self.background.spawn(session.release(), f"release-{session.target.id}")
         for key, target in zip(self.ranked, ranked, strict=True):
             if key not in self.sessions:
                 session = self.sessions[key] = DispatcherSession(self, target)
-                session.task = self.group.spawn(session.run(), f"agent-session-{target.id}")
+                session.task = self.background.spawn(session.run(), f"agent-session-{target.id}")
         if previous is not None and previous is not self.primary and previous.link is not None:
             # The previous primary returns its slots, and they are issued to the new one.
             previous.link.retract()
@@ -458,8 +458,8 @@
             return
         self.snapshot = receiver
         for session in self.sessions.values():
-            own = session.target.id == self.instance.id
-            if own and session is not sender and session.link is not None:
+            is_local = session.target.id == self.instance.id
+            if is_local and session is not sender and session.link is not None:
                 can_forward = not message.base_sequence or session.forwarded == (
                     receiver,
                     message.base_sequence,
--- a/src/masticward/coordination/rendezvous.py
+++ b/src/masticward/coordination/rendezvous.py
@@ -1,4 +1,4 @@
-"""The choice of a service's dispatcher by rendezvous hashing."""
+"""Choice of a service's dispatcher by rendezvous hashing."""
 
 import collections.abc
 
@@ -9,9 +9,9 @@
 def rank(
     service: str, agents: collections.abc.Iterable[membership.Instance]
 ) -> list[membership.Instance]:
-    """Return the agents in the order in which they are candidates for dispatcher.
+    """Return the agents ordered as dispatcher candidates, the preferred one first.
 
-    When an agent joins or leaves, the order of the others stays the same.
+    The relative order of the other agents does not change when an agent joins or leaves.
     """
     return sorted(
         agents,
--- a/src/masticward/coordination/run_execution.py
+++ b/src/masticward/coordination/run_execution.py
@@ -1,4 +1,4 @@
-"""Carries out one started run at the endpoint."""
+"""Executes one started run at the endpoint."""
 
 import asyncio
 import contextlib
@@ -16,15 +16,16 @@
 if typing.TYPE_CHECKING:
     from masticward.coordination import endpoint_runner
 
-# Statuses by which an engine that took the call in says that it is overloaded.
+# HTTP statuses with which an engine that accepted the call reports overload.
 OVERLOAD_STATUSES = frozenset({429, 503})
-# Refused calls, such as malformed ones, cost the endpoint next to nothing.
+# Responses from this HTTP status on do not show that the endpoint can bear load: rejecting a call,
+# such as a malformed one, costs it next to nothing.
 FIRST_ERROR_STATUS = 400
-LAST_EVENTS = (attempts.Finished, attempts.Refused, attempts.Failed)
+FINAL_EVENTS = (attempts.Finished, attempts.Refused, attempts.Failed)
 
 
 class RunExecution:
-    """Runs one call, charges its cost and hands its events over."""
+    """Runs one call, charges its cost and delivers its events to the run's stream."""
 
     __slots__ = ("first_token_timer", "head", "is_model", "operation", "run", "runner", "service")
 
@@ -43,54 +44,57 @@
         self.head: attempts.ResponseHead | None = None
         self.first_token_timer: asyncio.TimerHandle | None = None
 
-    async def carry_out(self) -> None:
-        """Run the call to its end, free the slot, then hand the last event over."""
-        last: attempts.AttemptEvent = attempts.Failed("the agent stopped")
+    async def execute(self) -> None:
+        """Run the call to its end, free its capacity, then deliver the final event."""
+        final: attempts.AttemptEvent = attempts.Failed("the agent stopped")
         confirmed = False
-        self.arm_first_token_timer()
+        self.start_first_token_timer()
         try:
-            await self.exchange()
-            last, confirmed = self.succeeded(), True
+            await self.relay_response()
+            final, confirmed = self.complete(), True
         except errors.AttemptRefusedError as error:
             reason = work.RefusalReason(error.reason)
-            last, confirmed = self.runner.refusal_of(self.run.request, reason), True
+            final, confirmed = self.runner.record_refusal(self.run.request, reason), True
         except errors.EndpointNotStartedError as error:
-            last, confirmed = self.not_started(error), True
+            final, confirmed = self.handle_not_started(error), True
         except errors.EndpointBrokenError as error:
-            last = self.broken(str(error))
+            final = self.handle_broken_call(str(error))
         except Exception as error:
             self.runner.logger.log(events.Event.TASK_FAILED, task="attempt", error=repr(error))
-            last = attempts.Failed("internal error of the agent")
+            final = attempts.Failed("internal error of the agent")
         finally:
-            self.end(confirmed)
-        await self.pass_on(last)
+            self.release(confirmed)
+        await self.deliver(final)
 
-    def end(self, confirmed: bool) -> None:
-        """Free the slot once; ``confirmed`` tells that the endpoint no longer works on the call."""
+    def release(self, confirmed: bool) -> None:
+        """Free the run's capacity; repeated calls have no effect.
+
+        ``confirmed`` is whether the endpoint has certainly stopped working on the call.
+        """
         self.end_first_token_wait()
         self.runner.release(self.run, confirmed)
 
-    def note_task_end(self, task: asyncio.Task[None]) -> None:
-        """Free the slot of a task that was cancelled before its first step; tell a listener."""
-        self.end(confirmed=True)
-        if task.cancelled() and self.run.listening:
-            self.run.stop_listening()
+    def on_task_done(self, task: asyncio.Task[None]) -> None:
+        """Free the capacity of a task that was cancelled before it ran, and end its stream."""
+        self.release(confirmed=True)
+        if task.cancelled() and self.run.delivering:
+            self.run.stop_delivery()
             self.run.events.put_nowait(attempts.Failed("the agent stopped"))
 
-    async def exchange(self) -> None:
-        """Pass the endpoint's events on until the response is complete."""
+    async def relay_response(self) -> None:
+        """Deliver the endpoint's events until the response is complete."""
         stream = self.runner.endpoint.run(self.endpoint_request())
         async with contextlib.aclosing(stream):
             async for event in stream:
                 if isinstance(event, attempts.ResponseHead):
                     self.head = event
                 else:
-                    self.note_chunk(event)
+                    self.handle_chunk(event)
                 if isinstance(event, attempts.ResponseHead) or event.data:
-                    await self.pass_on(event)
+                    await self.deliver(event)
 
     def endpoint_request(self) -> endpoint_module.EndpointRequest:
-        """Return the call as the endpoint gets it."""
+        """Return the request that is sent to the endpoint."""
         return endpoint_module.EndpointRequest(
             attempt_id=self.run.request.attempt_id,
             call=self.run.request.call,
@@ -104,18 +108,19 @@
     def check_before_send(self) -> None:
         """Raise AttemptRefusedError if the call may no longer start.
 
-        Since the run was launched the process may have been paused, the zone taken out, or the
-        limit lowered below the calls in flight, of which this is one.
+        Between the start of the run and the sending of the call the process may have been paused,
+        the availability zone taken out of service, or the limit lowered below the number of calls
+        in flight, which includes this one.
         """
-        reason = self.runner.checks.on_start(self.run.request.call.deadline)
+        reason = self.runner.checks.check_on_start(self.run.request.call.deadline)
         capacity = self.runner.capacity
         if reason is None and capacity.in_flight.total > capacity.limit.limit:
             reason = work.RefusalReason.AT_LIMIT
         if reason is not None:
             raise errors.AttemptRefusedError(reason.value)
 
-    def note_chunk(self, chunk: attempts.ResponseChunk) -> None:
-        """Charge the chunk's cost and measure the first token."""
+    def handle_chunk(self, chunk: attempts.ResponseChunk) -> None:
+        """Charge the chunk's cost, and record the time to the first token."""
         self.charge(chunk.cost)
         if self.run.first_token_at is not None or not chunk.data or not self.is_token_stream():
             return
@@ -125,73 +130,84 @@
         self.end_first_token_wait()
         self.runner.metrics.first_token_seconds.observe(seconds)
         if self.runner.capacity.limit.note_first_token(seconds, self.run.epoch, now):
-            self.runner.note_cold("slow first token")
+            self.runner.log_cold("slow first token")
         self.runner.reconcile()
 
     def is_token_stream(self) -> bool:
-        """Tell whether the engine answers with tokens; an error says nothing of how warm it is."""
+        """Return whether the engine responds with tokens.
+
+        The time to an error response does not show whether the engine is warm.
+        """
         return (
             self.is_model and self.head is not None and endpoint_module.is_event_stream(self.head)
         )
 
     def charge(self, cost: float) -> None:
-        """Add to the cost of the run and of its team."""
+        """Add ``cost``, in cost units, to the cost of the run and of its team."""
         self.run.cost += cost
         self.runner.counters.add(self.run.request.call.team, cost)
 
-    async def pass_on(self, event: attempts.AttemptEvent) -> None:
-        """Hand an event over by the deadline; give the entry up if it reads too slowly."""
+    async def deliver(self, event: attempts.AttemptEvent) -> None:
+        """Deliver an event, or end the stream if the entry reads too slowly.
+
+        In the latter case EndpointBrokenError is raised for a language-model call that has not
+        finished, so that the call is ended too.
+        """
         try:
-            await self.hand_over(event)
+            await self.deliver_before_deadline(event)
         except TimeoutError:
-            self.run.stop_listening()
+            self.run.stop_delivery()
             self.run.events.put_nowait(attempts.Failed("the entry read too slowly"))
-            if self.is_model and not isinstance(event, LAST_EVENTS):
+            if self.is_model and not isinstance(event, FINAL_EVENTS):
                 raise errors.EndpointBrokenError("the entry read too slowly") from None
 
-    async def hand_over(self, event: attempts.AttemptEvent) -> None:
-        """Hand an event over. Raises TimeoutError if there is no room until the deadline."""
+    async def deliver_before_deadline(self, event: attempts.AttemptEvent) -> None:
+        """Deliver an event. Raises TimeoutError if the queue is full until the call's deadline."""
         if not self.run.events.full():
             await self.run.deliver(event)
             return
         seconds = clocks.remaining_seconds(self.run.request.call.deadline)
         await asyncio.wait_for(self.run.deliver(event), seconds)
 
-    # Ends
+    # Outcomes
 
-    def succeeded(self) -> attempts.Finished:
-        """Count a complete response."""
+    def complete(self) -> attempts.Finished:
+        """Update the admission limit after a complete response, and return the final event."""
         now = time.monotonic()
         limit = self.runner.capacity.limit
         started_at = self.run.started_at or now
         self.runner.capacity.depth.note_service_time(now - started_at)
         if self.head is not None and self.is_model and self.head.status in OVERLOAD_STATUSES:
-            self.runner.go_cold(f"status {self.head.status}")
-        elif self.is_evidence():
+            self.runner.reset_to_cold_limit(f"status {self.head.status}")
+        elif self.shows_work():
             raised = limit.note_success(self.run.epoch, now)
             if raised and limit.state is admission.AdmissionState.WARM:
                 self.runner.logger.log(events.Event.ENDPOINT_WARM, limit=limit.limit)
         return attempts.Finished(self.run.cost)
 
-    def is_evidence(self) -> bool:
-        """Tell whether the response shows that the endpoint did work."""
+    def shows_work(self) -> bool:
+        """Return whether the response shows that the endpoint did work for the call."""
         if self.is_model:
             return self.is_token_stream()
         return self.head is not None and self.head.status < FIRST_ERROR_STATUS
 
-    def not_started(self, error: errors.EndpointNotStartedError) -> attempts.Refused:
-        """Take a refusal by the endpoint as a sign of overload or of a restart."""
+    def handle_not_started(self, error: errors.EndpointNotStartedError) -> attempts.Refused:
+        """Reset admission to the cold limit: the endpoint is overloaded or has restarted."""
         self.runner.logger.log(
             events.Event.ENDPOINT_NOT_STARTED,
             request_id=self.run.request.call.request_id,
             cause=str(error),
         )
-        self.runner.go_cold("endpoint refused")
+        self.runner.reset_to_cold_limit("endpoint refused")
         reason = work.RefusalReason.ENDPOINT_NOT_STARTED
-        return self.runner.refusal_of(self.run.request, reason, str(error))
+        return self.runner.record_refusal(self.run.request, reason, str(error))
+
+    def handle_broken_call(self, cause: str) -> attempts.Failed:
+        """Charge a call that may have run, and update the admission limit.
 
-    def broken(self, cause: str) -> attempts.Failed:
-        """Charge a call that may have run; a cut connection may be a restart of the endpoint."""
+        A connection that breaks before the deadline may mean that the endpoint has restarted, so
+        admission is reset to the cold limit.
+        """
         self.runner.logger.log(
             events.Event.ENDPOINT_BROKEN,
             request_id=self.run.request.call.request_id,
@@ -202,30 +218,33 @@
         if time.monotonic() >= self.run.request.call.deadline:
             self.runner.capacity.limit.note_failure()
         elif self.head is not None or not self.operation.idempotent:
-            self.runner.go_cold("connection broken")
+            self.runner.reset_to_cold_limit("connection broken")
         return attempts.Failed(cause)
 
     # First token
 
-    def arm_first_token_timer(self) -> None:
-        """Watch for a first token that does not come in time."""
+    def start_first_token_timer(self) -> None:
+        """Start the timer that detects an overdue first token."""
         bound = self.runner.capacity.limit.first_tokens.bound()
         if self.is_model and bound is not None:
             loop = asyncio.get_running_loop()
-            self.first_token_timer = loop.call_later(bound, self.first_token_overdue, bound)
+            self.first_token_timer = loop.call_later(bound, self.on_first_token_overdue, bound)
 
-    def first_token_overdue(self, seconds: float) -> None:
-        """Take the endpoint for cold without waiting for the token any longer."""
+    def on_first_token_overdue(self, seconds: float) -> None:
+        """Treat the endpoint as cold without waiting any longer for the token.
+
+        ``seconds`` is the time that the call has waited.
+        """
         limit = self.runner.capacity.limit
         if limit.note_overdue_first_token(seconds, self.run.epoch, time.monotonic()):
-            self.runner.note_cold("first token overdue")
+            self.runner.log_cold("first token overdue")
             self.runner.reconcile()
 
     def end_first_token_wait(self) -> None:
-        """Stop watching and make room for another call that waits for its first token."""
+        """Stop the timer, and allow another call to wait for its first token."""
         if self.first_token_timer is not None:
             self.first_token_timer.cancel()
             self.first_token_timer = None
-        if self.is_model and not self.run.first_token_done:
-            self.run.first_token_done = True
+        if self.is_model and not self.run.first_token_wait_ended:
+            self.run.first_token_wait_ended = True
             self.runner.capacity.awaiting_first_token -= 1
--- a/src/masticward/coordination/runs.py
+++ b/src/masticward/coordination/runs.py
@@ -1,4 +1,4 @@
-"""One admitted attempt from its arrival to its last event."""
+"""Admitted attempts from their arrival to their final event."""
 
 import asyncio
 import collections
@@ -6,21 +6,22 @@
 
 from masticward.models import attempts, work
 
-# Bounds the memory of a stream whose entry reads slowly; the engine is then read slowly too.
-EVENTS_KEPT = 16
+# Bounds the memory of a stream whose entry reads slowly. While the queue is full, the endpoint's
+# response is not read either.
+MAXIMUM_QUEUED_EVENTS = 16
 
 
 class Run:
-    """An attempt that waits or runs. Times are monotonic seconds, costs are cost units."""
+    """A staged or running attempt. Times are monotonic seconds, costs are cost units."""
 
     __slots__ = (
         "cost",
+        "delivering",
         "epoch",
         "events",
         "first_token_at",
-        "first_token_done",
+        "first_token_wait_ended",
         "is_model",
-        "listening",
         "request",
         "started_at",
         "task",
@@ -28,30 +29,30 @@
 
     def __init__(self, request: attempts.AttemptRequest) -> None:
         self.request = request
-        self.events: asyncio.Queue[attempts.AttemptEvent] = asyncio.Queue(EVENTS_KEPT)
-        self.listening = True
+        self.events: asyncio.Queue[attempts.AttemptEvent] = asyncio.Queue(MAXIMUM_QUEUED_EVENTS)
+        self.delivering = True
         self.cost = 0.0
         self.epoch = 0
         self.started_at: float | None = None
         self.first_token_at: float | None = None
-        self.first_token_done = False
+        self.first_token_wait_ended = False
         self.is_model = False
         self.task: asyncio.Task[None] | None = None
 
     async def deliver(self, event: attempts.AttemptEvent) -> None:
-        """Hand an event to the entry's stream; drop it if nobody listens any more."""
-        if self.listening:
+        """Queue an event for the entry's stream. Drops it if the delivery has been stopped."""
+        if self.delivering:
             await self.events.put(event)
 
-    def stop_listening(self) -> None:
-        """Drop all events from now on and release a deliverer that waits for room."""
-        self.listening = False
+    def stop_delivery(self) -> None:
+        """Drop queued and future events, and unblock a ``deliver`` that waits for a free place."""
+        self.delivering = False
         while not self.events.empty():
             self.events.get_nowait()
 
 
 class StagedRuns:
-    """Runs that wait in the order of their arrival and have not started."""
+    """Runs that have not started, in the order of their arrival."""
 
     __slots__ = ("waiting",)
 
@@ -62,7 +63,7 @@
         return len(self.waiting)
 
     def append(self, run: Run) -> None:
-        """Add a run at the end."""
+        """Append a run."""
         self.waiting.append(run)
 
     def take_first(self) -> Run:
@@ -74,27 +75,27 @@
         return self.waiting.pop()
 
     def remove(self, run: Run) -> bool:
-        """Remove a run; False if it does not wait."""
+        """Remove a run. Return False if it is not staged."""
         if run not in self.waiting:
             return False
         self.waiting.remove(run)
         return True
 
-    def take_unfit(
+    def take_failing(
         self, check: collections.abc.Callable[[Run], work.RefusalReason | None]
     ) -> list[tuple[Run, work.RefusalReason]]:
-        """Remove and return the runs that fail a check, with the reason."""
-        unfit = []
-        fit: collections.deque[Run] = collections.deque()
+        """Remove and return the runs for which ``check`` returns a reason, with that reason."""
+        failing = []
+        passing: collections.deque[Run] = collections.deque()
         for run in self.waiting:
             reason = check(run)
             if reason is None:
-                fit.append(run)
+                passing.append(run)
             else:
-                unfit.append((run, reason))
-        self.waiting = fit
-        return unfit
+                failing.append((run, reason))
+        self.waiting = passing
+        return failing
 
     def next_deadline(self) -> float | None:
-        """Return the earliest deadline of the waiting runs."""
+        """Return the earliest deadline of the staged runs, None if there are none."""
         return min((run.request.call.deadline for run in self.waiting), default=None)
--- a/tests/functional/test_agent_refusals.py
+++ b/tests/functional/test_agent_refusals.py
@@ -1,4 +1,4 @@
-"""Guards against a refusal after which the endpoint has run the call, and against late starts."""
+"""Guards against refused calls that the endpoint runs anyway, and calls that start too late."""
 
 import asyncio
 import time
@@ -24,7 +24,7 @@
         self.view = self.harness.view
         self.attempt = self.harness.attempt
 
-    async def expect(self, reason: Reason, request: attempts.AttemptRequest) -> None:
+    async def assert_refused(self, reason: Reason, request: attempts.AttemptRequest) -> None:
         records = len(self.harness.server.recorder.records)
         events = await self.harness.run(request)
         self.assertEqual([attempts.Refused], [type(event) for event in events])
@@ -33,7 +33,7 @@
         self.assertEqual(records, len(self.harness.server.recorder.records))
         self.assertEqual(0.0, self.runner.report().finished.get(request.ticket_id, 0.0))
 
-    async def test_changed_attempts(self) -> None:
+    async def test_invalid_attempts_are_refused(self) -> None:
         (expired,), _ = self.runner.slots.issue(1, time.monotonic() - 2.5)
         late = agent_harness.call_request(seconds=-0.001)
         newer = {"entry_peer_address": "127.0.0.1:9"}
@@ -43,19 +43,19 @@
             (Reason.SLOT_UNKNOWN, self.attempt(slot=999)),
             (Reason.SLOT_EXPIRED, self.attempt(slot=expired)),
             (Reason.DEADLINE_PASSED, self.attempt(late)),
-            # The agent has held its configuration since its start: the entry is far behind.
+            # The agent has had its configuration since its start, so no grace period applies.
             (Reason.OLDER_CONFIGURATION, self.attempt(config_version=2)),
             (Reason.OLDER_CONFIGURATION, self.attempt(call_digest=1)),
             (Reason.NEWER_CONFIGURATION, self.attempt(config_version=4, call_digest=1, **newer)),
             (Reason.NO_CONFIGURATION, self.attempt(agent_harness.call_request("unknown"))),
         ):
             with self.subTest(reason=reason):
-                await self.expect(reason, request)
+                await self.assert_refused(reason, request)
         pulls = [mock.call(4, 2, "127.0.0.1:9")]
         self.assertEqual(pulls, self.view.pull_newer_versions.call_args_list)
 
-    async def test_configurations_that_differ_in_other_things(self) -> None:
-        """Fails if a change of no concern refuses calls, or if a concerning one lets them run."""
+    async def test_only_configuration_changes_that_affect_the_call_refuse_it(self) -> None:
+        """Guards against refusals after unrelated changes, and runs after changes of the call."""
         newer = self.attempt(config_version=4, entry_peer_address="127.0.0.1:9")
         self.assertIsInstance((await self.harness.run(newer))[-1], attempts.Finished)
         self.view.pull_newer_versions.assert_called_once_with(4, 2, "127.0.0.1:9")
@@ -74,30 +74,33 @@
         self.view.configuration = msgspec.structs.replace(before, version=5, services=(service,))
         self.runner.reconcile()
         for request in routed_before:
-            await self.expect(Reason.OLDER_CONFIGURATION, request)
+            await self.assert_refused(Reason.OLDER_CONFIGURATION, request)
 
-    async def test_earlier_configuration_is_refused_after_its_time(self) -> None:
-        """Fails if an entry that is cut off uses an earlier configuration for ever."""
+    async def test_earlier_configuration_is_refused_after_the_grace_period(self) -> None:
+        """Guards against a partitioned entry that uses an earlier configuration forever."""
         self.view.configuration = msgspec.structs.replace(self.view.configuration, version=4)
-        with mock.patch.object(admission_checks, "SUPERSEDED_SECONDS", 0.05):
+        with mock.patch.object(admission_checks, "SUPERSEDED_GRACE_SECONDS", 0.05):
             self.runner.reconcile()
         await asyncio.sleep(0.06)
-        await self.expect(Reason.OLDER_CONFIGURATION, self.attempt(config_version=3))
+        await self.assert_refused(Reason.OLDER_CONFIGURATION, self.attempt(config_version=3))
 
-    async def test_own_operations_state_decides_whatever_the_entry_holds(self) -> None:
-        """Fails if an attempt starts in a zone that is out because versions are not compared."""
+    async def test_agent_checks_its_own_operations_state_for_any_version_of_the_entry(self) -> None:
+        """Guards against starts in a zone that is out of service.
+
+        Operations versions of the entry and the agent are not compared.
+        """
         state = configuration_models.OperationsState
         for version in (1, 2, 3):
             self.view.operations = state(version=2)
             request = self.attempt(operations_version=version, entry_peer_address="127.0.0.1:9")
             self.assertIsInstance((await self.harness.run(request))[-1], attempts.Finished)
             self.view.operations = state(version=2, zones_out=(agent_harness.ZONE,))
-            await self.expect(Reason.ZONE_OUT, self.attempt(operations_version=version))
+            await self.assert_refused(Reason.ZONE_OUT, self.attempt(operations_version=version))
         self.view.pull_newer_versions.assert_any_call(3, 3, "127.0.0.1:9")
 
-    async def test_changed_view(self) -> None:
+    async def test_view_changes_refuse_attempts_and_stop_offers(self) -> None:
         view = self.view
-        usual = view.configuration, view.operations, float("inf"), False
+        default = view.configuration, view.operations, float("inf"), False
         out = configuration_models.OperationsState
         zone_out = out(version=2, zones_out=(agent_harness.ZONE,))
         for reason, position, value in (
@@ -108,41 +111,41 @@
             (Reason.LEAVING, 3, True),
         ):
             with self.subTest(reason=reason):
-                changed = [*usual[:position], value, *usual[position + 1 :]]
+                changed = [*default[:position], value, *default[position + 1 :]]
                 view.configuration, view.operations = changed[:2]
                 view.fresh_until.return_value, view.is_leaving.return_value = changed[2:]
-                await self.expect(reason, self.attempt())
+                await self.assert_refused(reason, self.attempt())
                 self.assertEqual((), self.runner.issue_slots().slot_ids)
                 withdraws = reason in (Reason.ZONE_OUT, Reason.INSTANCE_OUT, Reason.LEAVING)
                 self.assertEqual(withdraws, self.runner.is_retracted())
         view.is_leaving.return_value = False
         self.assertIsInstance((await self.harness.run(self.attempt()))[-1], attempts.Finished)
 
-    async def test_leaving_by_load_report_and_by_drain(self) -> None:
+    async def test_leaving_endpoint_or_draining_agent_refuses_attempts(self) -> None:
         self.harness.control(leaving=True)
         await agent_harness.until(self.runner.is_stopping)
-        await self.expect(Reason.LEAVING, self.attempt())
+        await self.assert_refused(Reason.LEAVING, self.attempt())
         self.harness.control(leaving=False)
         await agent_harness.until(lambda: not self.runner.is_stopping())
         running = self.harness.spawn(self.attempt())
         await agent_harness.until(lambda: self.harness.server.recorder.running == 1)
         self.runner.begin_drain()
-        await self.expect(Reason.LEAVING, self.attempt())
+        await self.assert_refused(Reason.LEAVING, self.attempt())
         await self.runner.drained()
         self.assertIsInstance((await running)[-1], attempts.Finished)
 
-    async def test_at_limit_duplicate_and_used_slot(self) -> None:
+    async def test_full_agent_duplicate_attempt_and_used_slot_are_refused(self) -> None:
         first = self.attempt()
         running = self.harness.spawn(first)
         await asyncio.sleep(0.02)
-        await self.expect(Reason.AT_LIMIT, self.attempt())
+        await self.assert_refused(Reason.AT_LIMIT, self.attempt())
         for _ in range(2):
             duplicate = self.attempt(attempt_id=first.attempt_id, ticket_id=first.ticket_id)
-            await self.expect(Reason.DUPLICATE_ATTEMPT, duplicate)
+            await self.assert_refused(Reason.DUPLICATE_ATTEMPT, duplicate)
             await running
-        await self.expect(Reason.SLOT_UNKNOWN, self.attempt(slot=first.slot_id))
+        await self.assert_refused(Reason.SLOT_UNKNOWN, self.attempt(slot=first.slot_id))
 
-    async def test_endpoint_refuses_or_is_not_there(self) -> None:
+    async def test_endpoint_that_refuses_or_is_stopped(self) -> None:
         self.harness.control(refuse=True)
         for _ in range(2):
             events = await self.harness.run(self.attempt())
@@ -155,7 +158,7 @@
 class StagedTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.harness = await agent_harness.open_harness(self, "plain", (1, 1), service_ms=300)
-        # Load reports would look at the waiting calls, too.
+        # Frequent load reports would also trigger the checks of staged calls.
         self.runner = await self.harness.start_agent(period=60.0)
         self.runner.capacity.depth.note_service_time(0.1)
         self.runner.record_one_way_delay(0.2)
@@ -168,10 +171,10 @@
         await agent_harness.until(lambda: self.runner.report().staged == count)
         return staged
 
-    async def expect_not_run(
-        self, staged: Tasks, reason: Reason, before_a_slot_is_free: bool = False
+    async def assert_refused_without_run(
+        self, staged: Tasks, reason: Reason, while_another_runs: bool = False
     ) -> None:
-        if before_a_slot_is_free:
+        if while_another_runs:
             await asyncio.wait([self.running, *staged], return_when=asyncio.FIRST_COMPLETED)
             self.assertFalse(self.running.done())
         for task in staged:
@@ -196,42 +199,47 @@
             version=2, zones_out=(agent_harness.ZONE,)
         )
 
-    async def test_zone_out(self) -> None:
+    async def test_zone_out_of_service_refuses_staged_calls_at_once(self) -> None:
         staged = await self.stage()
         self.take_zone_out()
         for call in self.harness.view.subscribe.call_args_list:
             call.args[0]()
-        await self.expect_not_run(staged, Reason.ZONE_OUT, before_a_slot_is_free=True)
+        await self.assert_refused_without_run(staged, Reason.ZONE_OUT, while_another_runs=True)
 
-    async def test_zone_out_that_the_view_does_not_announce(self) -> None:
+    async def test_zone_out_of_service_is_detected_without_notification(self) -> None:
+        """Guards against starting staged calls without a check of the current view."""
         staged = await self.stage()
         self.take_zone_out()
-        await self.expect_not_run(staged, Reason.ZONE_OUT)
+        await self.assert_refused_without_run(staged, Reason.ZONE_OUT)
 
-    async def test_stale_view(self) -> None:
+    async def test_stale_view_refuses_staged_calls(self) -> None:
         staged = await self.stage()
         self.harness.view.fresh_until.return_value = time.monotonic() - 0.001
-        await self.expect_not_run(staged, Reason.STALE_VIEW)
+        await self.assert_refused_without_run(staged, Reason.STALE_VIEW)
 
-    async def test_leaving(self) -> None:
+    async def test_drain_refuses_staged_calls(self) -> None:
         staged = await self.stage()
         self.runner.begin_drain()
-        await self.expect_not_run(staged, Reason.LEAVING)
+        await self.assert_refused_without_run(staged, Reason.LEAVING)
         self.harness.view.announce_leaving.assert_called_once()
         await self.runner.drained()
 
-    async def test_close_starts_nothing_and_ends_every_stream(self) -> None:
+    async def test_close_starts_no_staged_call_and_ends_all_streams(self) -> None:
         (staged,) = await self.stage(1)
         await self.runner.close()
         self.assertTrue((await self.running)[-1].may_have_run)
         self.assertEqual(Reason.LEAVING, (await staged)[-1].reason)
         self.assertEqual(1, len(self.harness.server.recorder.records))
 
-    async def test_deadline(self) -> None:
+    async def test_staged_calls_are_refused_at_their_deadline(self) -> None:
+        """Guards against staged calls that are only refused once a running call ends."""
         staged = await self.stage(seconds=0.1)
-        await self.expect_not_run(staged, Reason.DEADLINE_PASSED, before_a_slot_is_free=True)
+        await self.assert_refused_without_run(
+            staged, Reason.DEADLINE_PASSED, while_another_runs=True
+        )
 
-    async def test_paused_between_launch_and_send(self) -> None:
+    async def test_pause_between_start_and_send_refuses_the_call(self) -> None:
+        """Guards against checks that are not repeated right before the call is sent."""
         staged = await self.stage(1)
         run, fresh_until = self.harness.endpoint.run, self.harness.view.fresh_until
 
@@ -240,9 +248,9 @@
             return run(request)
 
         self.harness.endpoint.run = pause_and_run
-        await self.expect_not_run(staged, Reason.STALE_VIEW)
+        await self.assert_refused_without_run(staged, Reason.STALE_VIEW)
 
-    async def test_entry_that_cancels_a_waiting_call(self) -> None:
+    async def test_staged_call_cancelled_by_the_entry_does_not_start(self) -> None:
         (staged,) = await self.stage(1)
         staged.cancel()
         await self.running
--- a/tests/functional/test_cold_start.py
+++ b/tests/functional/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Guards against an endpoint in cold start that gets more work than it bears and falls over."""
+"""Guards against overloading an endpoint that is cold."""
 
 import asyncio
 import time
@@ -31,7 +31,11 @@
         )
         self.harness.stack.callback(load.cancel)
 
-    async def test_cold_again_without_warning_under_full_load(self) -> None:
+    async def test_endpoint_that_becomes_cold_under_full_load_is_not_overloaded(self) -> None:
+        """Guards against more calls than the cold limit at an endpoint that becomes cold.
+
+        Load reports may be on time, late or missing.
+        """
         await self.open("language-model", first_token_ms=10, token_ms=10)
         await self.harness.start_agent(report_lag_seconds=1.0, period=0.5)
         await self.start_load()
@@ -45,7 +49,11 @@
             self.assertFalse(self.server.overloaded, mode)
             self.harness.control(report_mode=Mode.NORMAL, cold=False)
 
-    async def test_overdue_first_token_sends_waiting_calls_elsewhere(self) -> None:
+    async def test_overdue_first_token_refuses_staged_calls(self) -> None:
+        """Guards against calls that wait at an endpoint that has become cold without a report.
+
+        Refused calls can run at other endpoints.
+        """
         await self.open("language-model", first_token_ms=10, cold_first_token_ms=3000)
         limit = (await self.harness.start_agent()).capacity.limit
         for _ in range(5):
@@ -57,7 +65,8 @@
         self.assertEqual(WARM_LIMIT - 2 * COLD_LIMIT, len(done))
         self.assertEqual({work.RefusalReason.AT_LIMIT}, {task.result()[-1].reason for task in done})
 
-    async def test_agent_restarted_while_its_endpoint_runs_earlier_work(self) -> None:
+    async def test_restarted_agent_counts_the_calls_of_its_previous_process(self) -> None:
+        """Guards against a restarted agent that overloads an endpoint with unfinished calls."""
         for mode in (Mode.NORMAL, Mode.LATE):
             with self.subTest(mode=mode):
                 await self.check_restarted_agent(mode)
@@ -78,7 +87,8 @@
         self.assertEqual(COLD_LIMIT, self.recorder.peak_running)
         self.assertFalse(self.server.overloaded)
 
-    async def test_nothing_is_admitted_before_the_first_report_or_three_seconds(self) -> None:
+    async def test_no_call_is_admitted_before_the_first_load_report_or_three_seconds(self) -> None:
+        """Guards against starts before the endpoint can have reported its unfinished calls."""
         await self.open("plain", service_ms=50, report_mode=Mode.MISSING)
         started_at = time.monotonic()
         await self.harness.start_agent(wait=False)
@@ -90,7 +100,7 @@
         await asyncio.sleep(0.5)
         self.assertEqual((COLD_LIMIT, "cold"), self.limit_and_state())
 
-    async def test_every_sign_leads_back_to_cold(self) -> None:
+    async def test_every_sign_of_overload_or_restart_resets_to_the_cold_limit(self) -> None:
         await self.open("plain", service_ms=10)
         limit = (await self.harness.start_agent()).capacity.limit
         before_answer = endpoint_server.DropPoint.BEFORE_ANSWER
@@ -110,7 +120,8 @@
                     await self.harness.run(self.harness.attempt())
                 await agent_harness.until(lambda: limit.limit == COLD_LIMIT)
 
-    async def test_limit_that_falls_between_launch_and_send(self) -> None:
+    async def test_limit_lowered_between_start_and_send_refuses_the_call(self) -> None:
+        """Guards against sending calls without checking the limit again."""
         await self.open("plain", service_ms=50)
         limit = (await self.harness.start_agent(period=60.0)).capacity.limit
         limit.raw_limit = WARM_LIMIT
@@ -126,7 +137,8 @@
         self.assertEqual([work.RefusalReason.AT_LIMIT, None, None], reasons)
         self.assertEqual(COLD_LIMIT, len(self.recorder.records))
 
-    async def test_reports_that_lag_do_not_leave_slots_idle(self) -> None:
+    async def test_late_load_reports_do_not_leave_slots_idle(self) -> None:
+        """Guards against counting finished calls that a late report still shows as running."""
         await self.open("plain", service_ms=100, report_mode=Mode.LATE, report_lag_ms=300)
         runner = await self.harness.start_agent(report_lag_seconds=1.0, period=0.5)
         await self.start_load()
@@ -135,7 +147,8 @@
             await asyncio.sleep(0.05)
             self.assertEqual(0, runner.capacity.in_flight.earlier)
 
-    async def test_errors_are_no_evidence_of_a_warm_engine(self) -> None:
+    async def test_error_responses_affect_neither_limit_nor_first_token_times(self) -> None:
+        """Guards against a cold engine that is assumed to be warm because it rejects calls fast."""
         await self.open("language-model")
         limit = (await self.harness.start_agent()).capacity.limit
         for _ in range(10):
--- a/tests/lib/agent_harness.py
+++ b/tests/lib/agent_harness.py
@@ -1,4 +1,7 @@
-"""An agent's runner against a real stand-in, with a view that the test changes."""
+"""Runs an agent's endpoint runner against a stand-in endpoint server.
+
+The fleet view is a mock, which tests change.
+"""
 
 import asyncio
 import collections.abc
@@ -27,7 +30,7 @@
 
 
 def make_view(service: configuration_models.Service) -> typing.Any:
-    """A view that allows every start; tests change what its methods return."""
+    """Return a mock fleet view that allows all calls. Tests change what its methods return."""
     view = mock.Mock(
         spec=fleet_view.FleetView,
         configuration=configuration_models.Configuration(
@@ -63,7 +66,7 @@
 
 
 class Harness:
-    """One stand-in and the agents beside it, one after the other."""
+    """One stand-in endpoint server and its agents, of which one runs at a time."""
 
     runner: endpoint_runner.EndpointRunner
     endpoint: endpoint_module.HttpEndpoint
@@ -106,7 +109,7 @@
         return self.runner
 
     def call_digest(self, name: str) -> int:
-        """The digest of one of the service's operations as first configured, 0 if there is none."""
+        """Return the digest of an operation as initially configured, 0 if there is none."""
         operations = {operation.name: operation for operation in self.service.operations}
         if name not in operations:
             return 0
@@ -115,7 +118,10 @@
     def attempt(
         self, call: work.CallRequest | None = None, slot: int | None = None, **changes: typing.Any
     ) -> attempts.AttemptRequest:
-        """An attempt that passes every check, with a slot issued past the offer, and changes."""
+        """Return an attempt that passes all checks, except for the given field changes.
+
+        Its slot is issued directly, without an offer to a dispatcher.
+        """
         number = next(serials)
         call = call or call_request(body=generate_body())
         fields: dict[str, typing.Any] = {
@@ -138,7 +144,7 @@
         return asyncio.get_running_loop().create_task(self.run(request))
 
     async def use_offers(self, make_body: collections.abc.Callable[[], bytes]) -> None:
-        """Use every slot that the agent offers, as a dispatcher with a backlog would."""
+        """Use every slot that the agent offers, as a dispatcher with a backlog does."""
         async with asyncio.TaskGroup() as tasks:
             while True:
                 for slot_id in self.runner.issue_slots().slot_ids:
@@ -153,8 +159,8 @@
 async def open_harness(
     test: typing.Any, kind: str, limits: tuple[int, int] = (2, 8), **faults: typing.Any
 ) -> Harness:
-    """Start a stand-in for a test and close everything at its end."""
-    # The debug mode of the loop makes each step so slow that it hides the behaviour under load.
+    """Start a stand-in endpoint server, and close it and its agents when the test ends."""
+    # The event loop's debug mode makes each step so slow that it hides the behaviour under load.
     asyncio.get_running_loop().set_debug(False)
     harness = Harness(kind, limits, faults)
     harness.url = f"http://{HOST}:{await harness.server.start(f'{HOST}:0')}"
@@ -164,7 +170,7 @@
 
 
 async def until(condition: collections.abc.Callable[[], bool], seconds: float = 20.0) -> None:
-    """Wait until a condition holds. Raises TimeoutError."""
+    """Wait until a condition holds. Raises TimeoutError after ``seconds``."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/lib/dispatch_fleet.py
+++ b/tests/lib/dispatch_fleet.py
@@ -232,7 +232,10 @@
 
 
 async def wait_until(condition: collections.abc.Callable[[], bool], seconds: float = 10.0) -> bool:
-    """Wait until the condition holds, and return whether it does. ``seconds`` is a time-out."""
+    """Wait until the condition holds, and return whether it does.
+
+    The time-out of ``seconds`` is only reached by failing tests.
+    """
     deadline = time.monotonic() + seconds
     while not condition() and time.monotonic() < deadline:
         await asyncio.sleep(0.01)
