--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -100,7 +100,7 @@
     ) -> None:
         self.view = view
         self.service = service
-        self.ledger = ledger.VirtualTimes(self.read_terms())
+        self.ledger = ledger.VirtualTimeLedger(self.read_terms())
         policy = fair_queue.create_policy(policy_name, self.ledger)
         self.queue = fair_queue.FairQueue(policy, self.ledger)
         self.entries: dict[str, dispatch_role.EntryPeer] = {}
@@ -168,9 +168,9 @@
         if previous is not None and previous is not peer:
             self.queue.remove(ticket.id)
             self.detach_ticket(ticket.id)
-        candidate = self.ledger.candidate
+        candidate = self.ledger.pending_snapshot
         if self.queue.add(ticket):
-            if candidate is not None and self.ledger.candidate is None:
+            if candidate is not None and self.ledger.pending_snapshot is None:
                 self.begin_restoration(candidate)
             self.ticket_entries[ticket.id] = peer
             peer.tickets.add(ticket.id)
@@ -282,7 +282,9 @@
         finished = {key: cost for key, cost in report.finished.items() if key in agent.tickets}
         for ticket_id in progress:
             self.unstarted.pop(ticket_id, None)
-        self.queue.report(peer.agent_id, peer.incarnation, report.counters, progress, finished)
+        self.queue.apply_report(
+            peer.agent_id, peer.incarnation, report.counters, progress, finished
+        )
         for ticket_id in finished:
             agent.assigned.pop(self.dispatched[ticket_id].slot_id, None)
             self.end_dispatch(ticket_id)
@@ -330,7 +332,7 @@
                 agent.position = None
         return None
 
-    def assign(self, taken: fair_queue.Taken, agent: AgentSlots, now: float) -> None:
+    def assign(self, taken: fair_queue.TakenTicket, agent: AgentSlots, now: float) -> None:
         """Assign a slot of the agent to a ticket and send the assignment to the entry."""
         ticket = taken.ticket
         entry = self.ticket_entries[ticket.id]
@@ -369,7 +371,7 @@
             return
         self.unstarted.pop(ticket_id, None)
         dispatched.agent.tickets.discard(ticket_id)
-        self.queue.settle(ticket_id)
+        self.queue.end_reservation(ticket_id)
         if self.agents.get(dispatched.agent.peer.agent_id) is dispatched.agent:
             self.update_position(dispatched.agent)
 
@@ -433,7 +435,7 @@
         """Apply the newest configuration and membership."""
         if self.view.configuration is not self.configuration:
             self.configuration = self.view.configuration
-            self.ledger.set_terms(self.read_terms())
+            self.ledger.set_parameters(self.read_terms())
         self.refresh_available()
         self.match()
 
@@ -446,7 +448,7 @@
             if agent.position is None and agent.free:
                 self.update_position(agent)
 
-    def read_terms(self) -> ledger.Terms:
+    def read_terms(self) -> ledger.FairShareParameters:
         """Return team shares and cost limits from the newest configuration.
 
         The debt cap is what a team owes if it holds every slot with requests of the maximum cost.
@@ -458,7 +460,7 @@
         service = next((item for item in services if item.name == self.service), None)
         maximum_cost = service.maximum_cost if service is not None else DEFAULT_MAXIMUM_COST
         slots = max(1, service.endpoints * service.warm_limit) if service is not None else 1
-        return ledger.Terms(
+        return ledger.FairShareParameters(
             shares={team.name: team.share for team in teams},
             maximum_cost=maximum_cost,
             debt_cap=maximum_cost * slots,
@@ -468,7 +470,7 @@
 
     def offer_snapshot(self, snapshot: ledger.Snapshot) -> None:
         """Adopt a snapshot if it includes more service than this dispatcher has recorded."""
-        if self.ledger.offer_snapshot(snapshot) and self.ledger.candidate is None:
+        if self.ledger.offer_snapshot(snapshot) and self.ledger.pending_snapshot is None:
             self.begin_restoration(snapshot)
 
     def begin_restoration(self, snapshot: ledger.Snapshot) -> None:
@@ -487,7 +489,7 @@
         if state == self.snapshot_state or not self.ledger.active:
             return None
         self.snapshot_state = state
-        self.ledger.forget_agents({member.id for member in self.view.members()})
+        self.ledger.drop_departed_agents({member.id for member in self.view.members()})
         return self.ledger.snapshot()
 
     @property
@@ -516,7 +518,7 @@
             "system_virtual_time": self.ledger.system_time,
             "teams": {
                 team: {
-                    "waiting": accounts[team].queued,
+                    "waiting": accounts[team].waiting,
                     "running": accounts[team].running,
                     "served": self.dispatched_by_team[team],
                     "virtual_time": accounts[team].effective,
--- a/src/masticward/coordination/endpoint_runner.py
+++ b/src/masticward/coordination/endpoint_runner.py
@@ -147,13 +147,13 @@
         """Admit the attempt, or return its refusal. An attempt uses up its slot either way."""
         now = time.monotonic()
         reason = self.checks.check_target(request)
-        if reason is None and self.attempts.is_known(request.attempt_id):
+        if reason is None and self.attempts.is_accepted(request.attempt_id):
             reason = Reason.DUPLICATE_ATTEMPT
         if reason is None:
             turnaround = self.slots.age(request.slot_id, now)
             if turnaround is not None and self.dispatcher_has_tickets:
-                self.capacity.depth.note_turnaround(turnaround)
-            slot_reason = self.slots.take(request.slot_id, now)
+                self.capacity.staged_depth.note_turnaround(turnaround)
+            slot_reason = self.slots.use(request.slot_id, now)
             reason = self.checks.check_on_arrival(request) or slot_reason
         if reason is None:
             reason = self.check_capacity(request, now)
@@ -167,7 +167,7 @@
         service = self.checks.service
         if service is None or not admission_checks.find_operation(service, request.call.operation):
             return Reason.NO_CONFIGURATION
-        return None if self.capacity.room(len(self.staged), now) > 0 else Reason.AT_LIMIT
+        return None if self.capacity.available_calls(len(self.staged), now) > 0 else Reason.AT_LIMIT
 
     def record_refusal(
         self, request: attempts.AttemptRequest, reason: Reason, detail: str = ""
@@ -214,7 +214,7 @@
             lambda run: self.checks.check_on_start(run.request.call.deadline)
         ):
             self.refuse_staged(run, reason)
-        for _ in range(self.capacity.surplus(len(self.staged))):
+        for _ in range(self.capacity.excess_staged_calls(len(self.staged))):
             self.refuse_staged(self.staged.take_last(), Reason.AT_LIMIT)
 
     def refuse_staged(self, run: runs.Run, reason: Reason) -> None:
@@ -279,7 +279,7 @@
 
     def reset_to_cold_limit(self, cause: str) -> None:
         """Reset admission to the cold limit."""
-        self.capacity.limit.go_cold()
+        self.capacity.limit.reset_to_cold()
         self.log_cold(cause)
 
     def log_cold(self, cause: str) -> None:
@@ -334,14 +334,16 @@
         now = time.monotonic()
         room = 0
         if self.checks.check_may_start() is None:
-            room = self.capacity.room(len(self.staged), now) - self.slots.issued(now)
+            room = self.capacity.available_calls(len(self.staged), now) - self.slots.count_valid(
+                now
+            )
         slot_ids, deadline = self.slots.issue(room, now)
         return offers.SlotOffer(slot_ids=slot_ids, deadline=deadline)
 
     def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:
         """Reclaim slots that a dispatcher returned, so that new ones may be issued."""
         for slot_id in slot_ids:
-            self.slots.take_back(slot_id)
+            self.slots.withdraw(slot_id)
 
     def report(self) -> offers.UsageReport:
         """Return all counters. Each finished ticket is included in one report only."""
@@ -362,7 +364,7 @@
 
     def record_one_way_delay(self, seconds: float) -> None:
         """Record a one-way network delay to the dispatcher."""
-        self.capacity.depth.note_hop_time(seconds)
+        self.capacity.staged_depth.note_hop_time(seconds)
 
     def record_waiting_tickets(self, count: int) -> None:
         """Record the number of tickets that wait at the dispatcher."""
@@ -373,9 +375,11 @@
     def update_metrics(self) -> None:
         """Update the gauges, and log when admission opens for the first time."""
         self.metrics.running.set(len(self.running))
-        self.metrics.earlier.set(self.capacity.in_flight.earlier)
+        self.metrics.earlier.set(self.capacity.in_flight.earlier_calls)
         self.metrics.staged.set(len(self.staged))
         self.metrics.limit.set(self.capacity.limit.limit)
         if not self.admission_opened and self.capacity.limit.is_open(time.monotonic()):
             self.admission_opened = True
-            self.logger.log(events.Event.ADMISSION_OPENED, earlier=self.capacity.in_flight.earlier)
+            self.logger.log(
+                events.Event.ADMISSION_OPENED, earlier=self.capacity.in_flight.earlier_calls
+            )
--- a/src/masticward/coordination/ticket_submitter.py
+++ b/src/masticward/coordination/ticket_submitter.py
@@ -114,5 +114,5 @@
         window = self.windows.get((team, service))
         if window is None or self.ticket_client is None:
             return
-        for ticket_id in window.take_submittable():
+        for ticket_id in window.pop_submittable():
             self.ticket_client.submit(self.waiters[ticket_id].ticket)
--- a/tests/functional/test_agent_refusals.py
+++ b/tests/functional/test_agent_refusals.py
@@ -160,7 +160,7 @@
         self.harness = await agent_harness.open_harness(self, "plain", (1, 1), service_ms=300)
         # Frequent load reports would also trigger the checks of staged calls.
         self.runner = await self.harness.start_agent(period=60.0)
-        self.runner.capacity.depth.note_service_time(0.1)
+        self.runner.capacity.staged_depth.note_service_time(0.1)
         self.runner.record_one_way_delay(0.2)
         self.running = self.harness.spawn(self.harness.attempt())
         await agent_harness.until(lambda: self.harness.server.recorder.running == 1)
--- a/tests/functional/test_cold_start.py
+++ b/tests/functional/test_cold_start.py
@@ -128,7 +128,7 @@
         run = self.harness.endpoint.run
 
         def turn_cold_and_run(request: typing.Any) -> typing.Any:
-            limit.go_cold()
+            limit.reset_to_cold()
             return run(request)
 
         self.harness.endpoint.run = turn_cold_and_run
@@ -145,7 +145,7 @@
         await agent_harness.until(lambda: self.limit_and_state() == (WARM_LIMIT, "warm"))
         for _ in range(30):
             await asyncio.sleep(0.05)
-            self.assertEqual(0, runner.capacity.in_flight.earlier)
+            self.assertEqual(0, runner.capacity.in_flight.earlier_calls)
 
     async def test_error_responses_affect_neither_limit_nor_first_token_times(self) -> None:
         """Guards against a cold engine that is assumed to be warm because it rejects calls fast."""
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -29,10 +29,10 @@
     """Return the bounds of the users' first site."""
     return gateway.Bounds(
         revoke_seconds=5.0,
-        stop_seconds=8.0,
-        repeat_ratio=0.2,
-        repeat_window_seconds=10.0,
-        repeat_slack=58.0,
+        stop_grace_seconds=8.0,
+        retry_ratio=0.2,
+        retry_window_seconds=10.0,
+        retry_slack=58.0,
         cold_overage=1.5,
         cold_slack=5.0,
     )
@@ -111,11 +111,11 @@
     return gateway.Endpoint(**{**values, **changes})  # type: ignore[arg-type]
 
 
-def make_fleet(*endpoints: gateway.Endpoint, now: float = 0.0) -> fleet_module.Fleet:
+def make_fleet(*endpoints: gateway.Endpoint, now: float = 0.0) -> fleet_module.FleetState:
     """Return the beliefs of a gateway that knows the given endpoints."""
-    fleet = fleet_module.Fleet(make_settings())
+    fleet = fleet_module.FleetState(make_settings())
     fleet.started_at = now - STARTED_BEFORE_SECONDS
-    fleet.take_configuration(make_configuration(), now, "test")
+    fleet.apply_configuration(make_configuration(), now, "test")
     fleet.apply_endpoints([(item.id, item) for item in endpoints], True)
     return fleet
 
@@ -127,9 +127,9 @@
     own_tokens: int = 3_700,
     arrived_at: float = 0.0,
     seconds: float = 8.0,
-) -> gateway.RequestTerms:
+) -> gateway.RequestMetadata:
     """Return a request with a shared part and one of its own."""
-    return gateway.RequestTerms(
+    return gateway.RequestMetadata(
         request_id=request_id,
         method=b"POST",
         target=b"/plan/x",
@@ -149,7 +149,7 @@
     )
 
 
-class NoStore(sources.FleetSource):
+class UnusedStore(sources.FleetSource):
     """A store that is not used."""
 
     async def list_objects(self, kind: sources.ObjectKind) -> sources.Listing:
