--- a/src/masticward/coordination/agent_metrics.py
+++ b/src/masticward/coordination/agent_metrics.py
@@ -16,7 +16,7 @@
 
     __slots__ = (
         "busy_slot_seconds",
-        "earlier",
+        "earlier_calls",
         "first_token_seconds",
         "limit",
         "refusals",
@@ -29,7 +29,7 @@
         self.running = prometheus_client.Gauge(
             "masticward_agent_running_calls", "Calls running at the endpoint.", registry=registry
         )
-        self.earlier = prometheus_client.Gauge(
+        self.earlier_calls = prometheus_client.Gauge(
             "masticward_agent_earlier_calls",
             "Calls at the endpoint that this agent does not run.",
             registry=registry,
--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -100,7 +100,7 @@
     ) -> None:
         self.view = view
         self.service = service
-        self.ledger = ledger.VirtualTimeLedger(self.read_terms())
+        self.ledger = ledger.VirtualTimeLedger(self.read_parameters())
         policy = fair_queue.create_policy(policy_name, self.ledger)
         self.queue = fair_queue.FairQueue(policy, self.ledger)
         self.entries: dict[str, dispatch_role.EntryPeer] = {}
@@ -168,10 +168,10 @@
         if previous is not None and previous is not peer:
             self.queue.remove(ticket.id)
             self.detach_ticket(ticket.id)
-        candidate = self.ledger.pending_snapshot
+        pending_snapshot = self.ledger.pending_snapshot
         if self.queue.add(ticket):
-            if candidate is not None and self.ledger.pending_snapshot is None:
-                self.begin_restoration(candidate)
+            if pending_snapshot is not None and self.ledger.pending_snapshot is None:
+                self.begin_restoration(pending_snapshot)
             self.ticket_entries[ticket.id] = peer
             peer.tickets.add(ticket.id)
             self.match()
@@ -435,7 +435,7 @@
         """Apply the newest configuration and membership."""
         if self.view.configuration is not self.configuration:
             self.configuration = self.view.configuration
-            self.ledger.set_parameters(self.read_terms())
+            self.ledger.set_parameters(self.read_parameters())
         self.refresh_available()
         self.match()
 
@@ -448,7 +448,7 @@
             if agent.position is None and agent.free:
                 self.update_position(agent)
 
-    def read_terms(self) -> ledger.FairShareParameters:
+    def read_parameters(self) -> ledger.FairShareParameters:
         """Return team shares and cost limits from the newest configuration.
 
         The debt cap is what a team owes if it holds every slot with requests of the maximum cost.
--- a/src/masticward/coordination/endpoint_runner.py
+++ b/src/masticward/coordination/endpoint_runner.py
@@ -277,7 +277,7 @@
         while len(self.finished) > MAXIMUM_FINISHED_TICKETS:
             del self.finished[next(iter(self.finished))]
 
-    def reset_to_cold_limit(self, cause: str) -> None:
+    def reset_to_cold(self, cause: str) -> None:
         """Reset admission to the cold limit."""
         self.capacity.limit.reset_to_cold()
         self.log_cold(cause)
@@ -332,12 +332,12 @@
     def issue_slots(self) -> offers.SlotOffer:
         """Issue slots up to the free capacity."""
         now = time.monotonic()
-        room = 0
+        available_calls = 0
         if self.checks.check_may_start() is None:
-            room = self.capacity.available_calls(len(self.staged), now) - self.slots.count_valid(
-                now
-            )
-        slot_ids, deadline = self.slots.issue(room, now)
+            available_calls = self.capacity.available_calls(
+                len(self.staged), now
+            ) - self.slots.count_valid(now)
+        slot_ids, deadline = self.slots.issue(available_calls, now)
         return offers.SlotOffer(slot_ids=slot_ids, deadline=deadline)
 
     def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:
@@ -375,7 +375,7 @@
     def update_metrics(self) -> None:
         """Update the gauges, and log when admission opens for the first time."""
         self.metrics.running.set(len(self.running))
-        self.metrics.earlier.set(self.capacity.in_flight.earlier_calls)
+        self.metrics.earlier_calls.set(self.capacity.in_flight.earlier_calls)
         self.metrics.staged.set(len(self.staged))
         self.metrics.limit.set(self.capacity.limit.limit)
         if not self.admission_opened and self.capacity.limit.is_open(time.monotonic()):
--- a/src/masticward/coordination/run_execution.py
+++ b/src/masticward/coordination/run_execution.py
@@ -178,7 +178,7 @@
         started_at = self.run.started_at or now
         self.runner.capacity.staged_depth.note_service_time(now - started_at)
         if self.head is not None and self.is_model and self.head.status in OVERLOAD_STATUSES:
-            self.runner.reset_to_cold_limit(f"status {self.head.status}")
+            self.runner.reset_to_cold(f"status {self.head.status}")
         elif self.shows_work():
             raised = limit.note_success(self.run.epoch, now)
             if raised and limit.state is admission.AdmissionState.WARM:
@@ -198,7 +198,7 @@
             request_id=self.run.request.call.request_id,
             cause=str(error),
         )
-        self.runner.reset_to_cold_limit("endpoint refused")
+        self.runner.reset_to_cold("endpoint refused")
         reason = work.RefusalReason.ENDPOINT_NOT_STARTED
         return self.runner.record_refusal(self.run.request, reason, str(error))
 
@@ -218,17 +218,19 @@
         if time.monotonic() >= self.run.request.call.deadline:
             self.runner.capacity.limit.note_failure()
         elif self.head is not None or not self.operation.idempotent:
-            self.runner.reset_to_cold_limit("connection broken")
+            self.runner.reset_to_cold("connection broken")
         return attempts.Failed(cause)
 
     # First token
 
     def start_first_token_timer(self) -> None:
         """Start the timer that detects an overdue first token."""
-        bound = self.runner.capacity.limit.first_tokens.threshold_seconds()
-        if self.is_model and bound is not None:
+        threshold_seconds = self.runner.capacity.limit.first_tokens.threshold_seconds()
+        if self.is_model and threshold_seconds is not None:
             loop = asyncio.get_running_loop()
-            self.first_token_timer = loop.call_later(bound, self.on_first_token_overdue, bound)
+            self.first_token_timer = loop.call_later(
+                threshold_seconds, self.on_first_token_overdue, threshold_seconds
+            )
 
     def on_first_token_overdue(self, seconds: float) -> None:
         """Treat the endpoint as cold without waiting any longer for the token.
