--- a/src/masticward/coordination/offers.py
+++ b/src/masticward/coordination/offers.py
@@ -293,7 +293,7 @@
             return
         previous = self.primary
         self.ranked = [(target.id, target.peer_address) for target in ranked]
-        for key in [known for known in self.sessions if known not in self.ranked]:
+        for key in [item for item in self.sessions if item not in self.ranked]:
             session = self.sessions.pop(key)
             session.released = True
             self.background.spawn(session.release(), f"release-{session.target.id}")
--- a/src/masticward/coordination/runs.py
+++ b/src/masticward/coordination/runs.py
@@ -45,7 +45,7 @@
             await self.events.put(event)
 
     def stop_delivery(self) -> None:
-        """Drop queued and future events, and unblock a ``deliver`` that waits for a free place."""
+        """Drop queued and future events, and unblock a ``deliver`` that waits for room."""
         self.delivering = False
         while not self.events.empty():
             self.events.get_nowait()
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -34,7 +34,7 @@
             ticket = dispatch_fleet.ticket(ticket_id, "red", **changes)
             self.dispatcher.enqueue(self.entry, ticket)
 
-    def assignments(self) -> list[work.Assignment]:
+    def take_assignments(self) -> list[work.Assignment]:
         found = []
         while not self.entry.outbox.empty():
             item = self.entry.outbox.get_nowait()
@@ -53,16 +53,16 @@
             )
         )
 
-    def reserved(self) -> float:
+    def reserved_cost(self) -> float:
         return self.dispatcher.ledger.account_of("red").reserved
 
     def test_declined_valid_slot_is_assigned_to_the_next_ticket(self) -> None:
         peer = self.open_agent("agent-1")
         self.enqueue("t1", "t2")
         self.offer(peer, 7)
-        first = self.assignments()[0]
+        first = self.take_assignments()[0]
         self.decline(first, slot_valid=True)
-        second = self.assignments()[0]
+        second = self.take_assignments()[0]
         self.assertEqual(("t1", 7, "t2", 7), (*ticket_and_slot(first), *ticket_and_slot(second)))
         self.decline(first, slot_valid=True)
         self.assertEqual(0, self.dispatcher.free_slots, "a slot was freed twice")
@@ -71,15 +71,15 @@
         peer = self.open_agent("agent-1")
         self.enqueue("t1", "t2")
         self.offer(peer, 7)
-        self.decline(self.assignments()[0], slot_valid=False)
-        self.assertEqual([], self.assignments())
-        self.assertEqual((0, 0.0), (self.dispatcher.free_slots, self.reserved()))
+        self.decline(self.take_assignments()[0], slot_valid=False)
+        self.assertEqual([], self.take_assignments())
+        self.assertEqual((0, 0.0), (self.dispatcher.free_slots, self.reserved_cost()))
 
     def test_slot_close_to_its_deadline_is_returned_and_not_assigned(self) -> None:
         peer = self.open_agent("agent-1")
         self.offer(peer, 7, seconds=0.4)
         self.enqueue("t1")
-        self.assertEqual([], self.assignments())
+        self.assertEqual([], self.take_assignments())
         returned = peer.outbox.get_nowait().returned
         self.assertEqual([7], list(returned.slot_ids))
 
@@ -88,7 +88,7 @@
         self.enqueue("late", deadline=time.monotonic() - 0.001)
         self.enqueue("t1")
         self.offer(peer, 7)
-        self.assertEqual([("t1", 7)], [ticket_and_slot(item) for item in self.assignments()])
+        self.assertEqual([("t1", 7)], [ticket_and_slot(item) for item in self.take_assignments()])
 
     def test_unavailable_agent_keeps_its_slots_until_available_again(self) -> None:
         for unavailable in (self.view.out_of_service, self.view.leaving, self.view.suspected):
@@ -98,29 +98,29 @@
                 self.dispatcher.tick()
                 self.enqueue("t1")
                 self.offer(peer, 7)
-                self.assertEqual([], self.assignments())
+                self.assertEqual([], self.take_assignments())
                 unavailable.clear()
                 self.dispatcher.tick()
                 self.assertEqual(
-                    [("t1", 7)], [ticket_and_slot(item) for item in self.assignments()]
+                    [("t1", 7)], [ticket_and_slot(item) for item in self.take_assignments()]
                 )
 
     def test_slots_are_spread_over_agents(self) -> None:
         for agent_id in ("agent-1", "agent-2"):
             self.offer(self.open_agent(agent_id), 1, 2, 3)
         self.enqueue("t1", "t2", "t3", "t4")
-        agents = [item.slot.agent_id for item in self.assignments()]
+        agents = [item.slot.agent_id for item in self.take_assignments()]
         self.assertEqual([2, 2], [agents.count("agent-1"), agents.count("agent-2")])
 
     def test_closed_agent_session_ends_reservations_and_drops_slots(self) -> None:
         peer = self.open_agent("agent-1")
         self.offer(peer, 1, 2)
         self.enqueue("t1")
-        self.assertGreater(self.reserved(), 0.0)
+        self.assertGreater(self.reserved_cost(), 0.0)
         self.dispatcher.close_agent(peer)
-        self.assertEqual((0.0, 0), (self.reserved(), self.dispatcher.free_slots))
+        self.assertEqual((0.0, 0), (self.reserved_cost(), self.dispatcher.free_slots))
         self.enqueue("t2")
-        self.assertEqual(["t1"], [item.ticket_id for item in self.assignments()])
+        self.assertEqual(["t1"], [item.ticket_id for item in self.take_assignments()])
 
     def test_closed_entry_session_drops_tickets_and_frees_slots_of_unsent_assignments(self) -> None:
         peer = self.open_agent("agent-1")
@@ -133,7 +133,7 @@
         self.enqueue("t3")
         self.dispatcher.close_entry(self.entry)
         self.assertEqual(0, self.dispatcher.waiting)
-        self.assertEqual(0.0, self.reserved())
+        self.assertEqual(0.0, self.reserved_cost())
 
     def test_closing_a_replaced_agent_session_keeps_the_new_one(self) -> None:
         old = self.open_agent("agent-1")
@@ -142,7 +142,7 @@
         self.offer(old, 1)
         self.offer(new, 2)
         self.enqueue("t1", "t2")
-        self.assertEqual([("t1", 2)], [ticket_and_slot(item) for item in self.assignments()])
+        self.assertEqual([("t1", 2)], [ticket_and_slot(item) for item in self.take_assignments()])
         self.assertFalse(self.dispatcher.open_agent(old, None), "accepted an old incarnation")
 
     def test_slot_of_a_ticket_cancelled_after_assignment_is_freed_by_the_decline(self) -> None:
@@ -151,8 +151,8 @@
         self.enqueue("t1")
         self.dispatcher.cancel(self.entry, "t1")
         self.assertEqual(0, self.dispatcher.free_slots)
-        self.decline(self.assignments()[0], slot_valid=True)
-        self.assertEqual((1, 0.0), (self.dispatcher.free_slots, self.reserved()))
+        self.decline(self.take_assignments()[0], slot_valid=True)
+        self.assertEqual((1, 0.0), (self.dispatcher.free_slots, self.reserved_cost()))
 
     def test_assignment_that_never_reaches_its_agent_is_ended(self) -> None:
         """Guards against reservations that are never released after an entry crashes.
@@ -175,7 +175,7 @@
         self.enqueue("t1")
         self.enqueue("t2", retried=True)
         self.offer(self.open_agent("agent-1"), 7)
-        self.assertEqual([("t2", 7)], [ticket_and_slot(item) for item in self.assignments()])
+        self.assertEqual([("t2", 7)], [ticket_and_slot(item) for item in self.take_assignments()])
 
     def test_equal_split_by_entry_alternates_between_entries(self) -> None:
         self.dispatcher = dispatcher_module.Dispatcher(
@@ -185,7 +185,7 @@
         self.enqueue("a1", "a2", "a3", entry_id="entry-1")
         self.enqueue("b1", "b2", entry_id="entry-2")
         self.offer(self.open_agent("agent-1"), 1, 2, 3, 4)
-        names = [item.ticket_id for item in self.assignments()]
+        names = [item.ticket_id for item in self.take_assignments()]
         self.assertEqual(["a1", "b1", "a2", "b2"], names)
 
 
