--- a/src/masticward/state/admission.py
+++ b/src/masticward/state/admission.py
@@ -1,15 +1,17 @@
-"""How many calls one endpoint bears at a time: cold, warming and warm."""
+"""Concurrency limit of one endpoint, which depends on whether it is cold, warming or warm."""
 
 import enum
 
 from masticward.state import first_token
 
+# Without a load report, an agent that has just started admits calls after this time.
 FIRST_REPORT_WAIT_SECONDS = 3.0
+# Age of the latest load report from which successful calls no longer raise the limit.
 REPORT_TIMEOUT_SECONDS = 3.0
 
 
 class AdmissionState(enum.StrEnum):
-    """The state of one endpoint as its agent judges it."""
+    """The state of one endpoint as determined by its agent."""
 
     COLD = "cold"
     WARMING = "warming"
@@ -19,8 +21,9 @@
 class AdmissionLimit:
     """The concurrency limit of one endpoint. Times are monotonic seconds.
 
-    ``epoch`` grows with each return to cold; successes of runs that were started in an earlier
-    epoch tell nothing about the endpoint as it is now and are not counted.
+    The limit rises from ``cold_limit`` to ``warm_limit`` by one after as many successful calls in a
+    row as it allows at a time. ``epoch`` is incremented with each return to cold: calls that were
+    started in an earlier epoch say nothing about the current state and do not raise the limit.
     """
 
     __slots__ = (
@@ -44,7 +47,7 @@
         self.warm_limit = max(1, warm_limit)
         self.cold_limit = min(max(1, cold_limit), self.warm_limit)
         self.started_at = started_at
-        # A lagging report may not yet show calls that a previous agent started just before its end.
+        # A lagging report may not include calls that a previous agent started just before it ended.
         self.report_lag_seconds = report_lag_seconds
         self.raw_limit = self.cold_limit
         self.limit_hint = 0
@@ -57,14 +60,14 @@
 
     @property
     def limit(self) -> int:
-        """The calls that may be in flight now, at least 1."""
+        """The number of calls that may be in flight at present, at least 1."""
         if self.limit_hint > 0:
             return min(self.raw_limit, self.limit_hint)
         return self.raw_limit
 
     @property
     def state(self) -> AdmissionState:
-        """The state that follows from the limit; warm wins if both limits are equal."""
+        """The state derived from reports and limit; warm if cold and warm limit are equal."""
         if self.reported_cold:
             return AdmissionState.COLD
         if self.raw_limit >= self.warm_limit:
@@ -74,20 +77,23 @@
         return AdmissionState.COLD
 
     def is_open(self, now: float) -> bool:
-        """Tell whether anything may be admitted: a load report came or the wait for it is over."""
+        """Return whether calls may be admitted: a load report has arrived or did not in time."""
         if now >= self.started_at + FIRST_REPORT_WAIT_SECONDS:
             return True
         settled = now >= self.started_at + self.report_lag_seconds
         return settled and self.last_report_at is not None
 
     def set_limits(self, cold_limit: int, warm_limit: int) -> None:
-        """Take over the limits of a newer configuration; the limit itself is never raised here."""
+        """Apply the limits of a newer configuration and clamp the current limit to their range.
+
+        A higher warm limit does not raise the current limit.
+        """
         self.warm_limit = max(1, warm_limit)
         self.cold_limit = min(max(1, cold_limit), self.warm_limit)
         self.raw_limit = min(max(self.raw_limit, self.cold_limit), self.warm_limit)
 
     def reset_to_cold(self) -> None:
-        """Return to the cold limit at once."""
+        """Return to the cold limit and start a new epoch."""
         self.raw_limit = self.cold_limit
         self.successes = 0
         self.epoch += 1
@@ -95,7 +101,7 @@
     def note_report(
         self, cold: bool, incarnation: int, limit_hint: int, requested_at: float, now: float
     ) -> bool:
-        """Take a load report into account; True if it led back to cold."""
+        """Apply a load report; True if the endpoint became cold or restarted."""
         self.first_tokens.note_report(cold, requested_at - self.report_lag_seconds, now)
         restarted = self.endpoint_incarnation not in (None, incarnation)
         self.endpoint_incarnation = incarnation
@@ -108,7 +114,7 @@
         return became_cold
 
     def note_success(self, epoch: int, now: float) -> bool:
-        """Count a call that ended well; True if it raised the limit."""
+        """Count a successful call that was started in ``epoch``; True if it raised the limit."""
         if epoch != self.epoch or self.raw_limit >= self.warm_limit:
             return False
         if self.reported_cold or self.is_report_missing(now):
@@ -122,19 +128,20 @@
         return True
 
     def note_failure(self) -> None:
-        """End the run of successes without a return to cold, for example after a timeout."""
+        """Restart the count of successful calls without a return to cold, e.g. after a timeout."""
         self.successes = 0
 
     def is_report_missing(self, now: float) -> bool:
-        """Tell whether no load report has come for 3 s."""
+        """Return whether no load report has arrived for ``REPORT_TIMEOUT_SECONDS``."""
         return self.last_report_at is None or now - self.last_report_at >= REPORT_TIMEOUT_SECONDS
 
     def note_first_token(self, seconds: float, epoch: int, now: float) -> bool:
-        """Take a first-token time into account; True if it led back to cold.
+        """Apply a first-token time; True if it led to a return to cold.
 
-        The mean is learned while load reports say that the endpoint is not cold; to wait for the
-        warm state would leave an endpoint that just became warm without a mean. A slow time is
-        learned too, so that lastingly longer prompts do not hold the endpoint at its cold limit.
+        Times are added to the mean while load reports say that the endpoint is not cold. If only
+        times of the warm state were, an endpoint that had just become warm would have no mean. Slow
+        times are always added, so that permanently longer prompts do not keep the endpoint at its
+        cold limit.
         """
         slow = self.first_tokens.is_slow(seconds)
         if slow:
@@ -147,7 +154,7 @@
         return True
 
     def note_overdue_first_token(self, seconds: float, epoch: int, now: float) -> bool:
-        """Take a first token that is still awaited into account; True if it led back to cold."""
+        """Apply a first token that is overdue by now; True if it led to a return to cold."""
         self.first_tokens.note_suspected_cold(seconds, now)
         if epoch != self.epoch:
             return False
--- a/src/masticward/state/attempts.py
+++ b/src/masticward/state/attempts.py
@@ -2,15 +2,16 @@
 
 import heapq
 
-# A duplicate that was delayed on its way carries a remaining time from before the delay.
+# A duplicate that was delayed in the network carries a remaining time from before the delay.
 RETENTION_AFTER_DEADLINE_SECONDS = 60.0
 
 
 class AttemptTable:
     """Accepts each attempt id once. Times are monotonic seconds.
 
-    An id is kept until 60 s after its deadline, so memory is bounded by the rate of attempts times
-    their deadlines. A duplicate that comes later still is refused for its slot, which is used up.
+    An id is kept until ``RETENTION_AFTER_DEADLINE_SECONDS`` after its deadline, so the size of the
+    table is bounded by the rate of attempts and their deadlines. A duplicate that arrives after
+    that is refused because its slot has been used.
     """
 
     __slots__ = ("accepted", "expiries")
@@ -20,11 +21,11 @@
         self.expiries: list[tuple[float, str]] = []
 
     def is_accepted(self, attempt_id: str) -> bool:
-        """Tell whether the id was accepted before and is still kept."""
+        """Return whether the id has been accepted and is still kept."""
         return attempt_id in self.accepted
 
     def accept(self, attempt_id: str, deadline: float, now: float) -> bool:
-        """Accept an id; False if it was accepted before."""
+        """Accept an id; return False if it has been accepted before."""
         self.drop_expired(now)
         if attempt_id in self.accepted:
             return False
@@ -34,6 +35,6 @@
         return True
 
     def drop_expired(self, now: float) -> None:
-        """Drop the ids whose time is over."""
+        """Remove the ids whose retention has ended."""
         while self.expiries and self.expiries[0][0] <= now:
             del self.accepted[heapq.heappop(self.expiries)[1]]
--- a/src/masticward/state/fair_queue.py
+++ b/src/masticward/state/fair_queue.py
@@ -1,4 +1,4 @@
-"""The tickets that wait at one dispatcher, and the order in which they are served."""
+"""Queue of the tickets that wait at one dispatcher, ordered by a queue policy."""
 
 import abc
 import collections.abc
@@ -11,14 +11,14 @@
 from masticward.models import work
 from masticward.state import ledger as ledger_module
 
-# Tickets with a lower rank are served first within their group.
+# Within a group, tickets with the lower number are served first.
 RETRIED_PRIORITY = 0
 NEW_PRIORITY = 1
 SINGLE_GROUP = ""
 
 
 class Reservation:
-    """What a dispatched ticket is expected to cost and has cost so far, in cost units."""
+    """The estimated cost of a dispatched ticket and its cost so far, in cost units."""
 
     __slots__ = ("estimate", "hint", "progress", "team")
 
@@ -30,12 +30,15 @@
 
     @property
     def outstanding(self) -> float:
-        """The part of the estimate that the counters do not show yet."""
+        """The part of the estimate that has not been reported as cost yet, at least 0."""
         return max(0.0, self.estimate - self.progress)
 
 
 class TakenTicket(msgspec.Struct, frozen=True):
-    """A ticket chosen for dispatch, with its team's virtual time before the reservation."""
+    """A ticket taken for dispatch, with its cost estimate in cost units.
+
+    ``virtual_time`` is that of its team before the estimate was reserved.
+    """
 
     ticket: work.Ticket
     virtual_time: float
@@ -43,27 +46,30 @@
 
 
 class QueuePolicy(abc.ABC):
-    """Groups tickets into queues and ranks the queues; the least rank is served first."""
+    """Assigns tickets to groups and ranks the groups; the group of lowest rank is served first."""
 
     @abc.abstractmethod
     def group_of(self, ticket: work.Ticket) -> str:
-        """Return the name of the queue in which the ticket waits."""
+        """Return the name of the group to which the ticket belongs."""
 
     @abc.abstractmethod
     def rank_of(self, group: str) -> float:
-        """Return the present rank of a queue."""
+        """Return the current rank of a group."""
 
     @abc.abstractmethod
-    def note_group_added(self, group: str, least_rank: float | None) -> None:
-        """Note that an empty queue got a ticket; ``least_rank`` is that of the other queues."""
+    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
+        """Note that a group gets its first waiting ticket.
+
+        ``lowest_rank`` is the lowest rank of the other groups, None if there are none.
+        """
 
     @abc.abstractmethod
     def note_group_served(self, group: str) -> None:
-        """Note that a ticket of the queue was dispatched."""
+        """Note that a ticket of the group was dispatched."""
 
 
 class FairSharePolicy(QueuePolicy):
-    """Serves the team with the least virtual time."""
+    """Serves the team with the lowest virtual time."""
 
     def __init__(self, ledger: ledger_module.VirtualTimeLedger) -> None:
         self.ledger = ledger
@@ -73,28 +79,28 @@
         return ticket.team
 
     def rank_of(self, group: str) -> float:
-        """Return the team's virtual time with its reservations."""
+        """Return the team's virtual time including its reservations."""
         return self.ledger.effective_of(group)
 
-    def note_group_added(self, group: str, least_rank: float | None) -> None:
-        """Do nothing: the ledger lifts teams."""
+    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
+        """Do nothing: the ledger raises the virtual time of the team."""
 
     def note_group_served(self, group: str) -> None:
-        """Do nothing: the ledger holds the reservation."""
+        """Do nothing: the ledger accounts for the reservation."""
 
 
 class FirstComeFirstServedPolicy(QueuePolicy):
-    """Serves tickets by arrival, whatever their team. A baseline for measurement."""
+    """Serves tickets in order of arrival regardless of team. A baseline for measurements."""
 
     def group_of(self, ticket: work.Ticket) -> str:
-        """Return the only queue."""
+        """Return the name of the only group."""
         return SINGLE_GROUP
 
     def rank_of(self, group: str) -> float:
-        """Return 0, because there is one queue."""
+        """Return 0, because there is only one group."""
         return 0.0
 
-    def note_group_added(self, group: str, least_rank: float | None) -> None:
+    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
         """Do nothing."""
 
     def note_group_served(self, group: str) -> None:
@@ -102,9 +108,9 @@
 
 
 class EqualSplitByEntryPolicy(QueuePolicy):
-    """Gives each entry with waiting tickets the same number of slots. A baseline for measurement.
+    """Gives each entry with waiting tickets the same number of slots. A baseline for measurements.
 
-    It behaves like routers that split the capacity equally and exchange nothing.
+    It behaves like routers that split the capacity equally and share no state.
     """
 
     def __init__(self) -> None:
@@ -115,20 +121,20 @@
         return ticket.entry_id
 
     def rank_of(self, group: str) -> float:
-        """Return the number of tickets served, lifted when the entry returned from idle."""
+        """Return the number of tickets served, raised when the entry was idle."""
         return self.served.get(group, 0.0)
 
-    def note_group_added(self, group: str, least_rank: float | None) -> None:
-        """Lift the entry, so that an idle time gives no credit."""
-        self.served[group] = max(self.served.get(group, 0.0), least_rank or 0.0)
+    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
+        """Raise the entry's count to that of the others, so that idle time gives no credit."""
+        self.served[group] = max(self.served.get(group, 0.0), lowest_rank or 0.0)
 
     def note_group_served(self, group: str) -> None:
-        """Count the ticket."""
+        """Count the dispatched ticket."""
         self.served[group] = self.served.get(group, 0.0) + 1.0
 
 
 class TicketGroup:
-    """The waiting tickets of one queue and its key in the order of queues."""
+    """The waiting tickets of one group and the sort key of the group."""
 
     __slots__ = ("key", "tickets")
 
@@ -138,19 +144,19 @@
 
 
 class WaitingTicket:
-    """A ticket with its place in its group."""
+    """A waiting ticket with its group and its sort key within the group."""
 
     __slots__ = ("group", "key", "ticket")
 
     def __init__(self, ticket: work.Ticket, group: str, sequence: int) -> None:
-        rank = RETRIED_PRIORITY if ticket.retried else NEW_PRIORITY
+        priority = RETRIED_PRIORITY if ticket.retried else NEW_PRIORITY
         self.ticket = ticket
         self.group = group
-        self.key = (rank, ticket.arrived_at, sequence, ticket.id)
+        self.key = (priority, ticket.arrived_at, sequence, ticket.id)
 
 
 class FairQueue:
-    """Waiting tickets and the reservations of dispatched ones."""
+    """The waiting tickets and the reservations of dispatched tickets."""
 
     __slots__ = (
         "deadlines",
@@ -178,7 +184,7 @@
         return len(self.waiting)
 
     def add(self, ticket: work.Ticket) -> bool:
-        """Queue a ticket; False if a ticket with this id waits already."""
+        """Add a ticket; return False if a ticket with this id is already waiting."""
         if ticket.id in self.waiting:
             return False
         self.sequence += 1
@@ -197,7 +203,7 @@
         return True
 
     def remove(self, ticket_id: str) -> work.Ticket | None:
-        """Take a waiting ticket out; None if it does not wait."""
+        """Remove and return a waiting ticket; None if no ticket with this id is waiting."""
         entry = self.waiting.get(ticket_id)
         if entry is None:
             return None
@@ -206,7 +212,10 @@
         return entry.ticket
 
     def take(self, now: float) -> TakenTicket | None:
-        """Take the next ticket and reserve its estimate; None if no ticket within time waits."""
+        """Remove the next ticket and reserve its estimated cost; None if no ticket is waiting.
+
+        Tickets whose deadline has passed at ``now`` are dropped first.
+        """
         self.drop_expired(now)
         if not self.group_order:
             return None
@@ -224,7 +233,7 @@
         return TakenTicket(ticket, virtual_time, estimate)
 
     def drop_expired(self, now: float) -> list[work.Ticket]:
-        """Drop and return the tickets whose deadline has passed."""
+        """Remove and return the waiting tickets whose deadline is not after ``now``."""
         dropped = []
         while self.deadlines and self.deadlines[0][0] <= now:
             ticket = self.remove(self.deadlines[0][1])
@@ -240,8 +249,12 @@
         progress: collections.abc.Mapping[str, float],
         finished: collections.abc.Mapping[str, float],
     ) -> None:
-        """Apply one report of an agent: charge counters, then adjust and end reservations."""
-        touched = {
+        """Charge an agent's counters, then adjust and end the reservations of its tickets.
+
+        ``totals`` is in cost units by team; ``progress`` and ``finished`` are in cost units by
+        ticket.
+        """
+        changed = {
             account.team: account
             for account in self.ledger.charge_counters(agent_id, incarnation, totals)
         }
@@ -251,14 +264,17 @@
                 before = reservation.outstanding
                 reservation.progress = cost
                 self.ledger.adjust_reservation(reservation.team, reservation.outstanding - before)
-                touched[reservation.team] = self.ledger.accounts[reservation.team]
-        for account in touched.values():
-            self.ledger.reposition(account)
+                changed[reservation.team] = self.ledger.accounts[reservation.team]
+        for account in changed.values():
+            self.ledger.notify_change(account)
         for ticket_id, cost in finished.items():
             self.end_reservation(ticket_id, cost)
 
     def end_reservation(self, ticket_id: str, cost: float = 0.0) -> bool:
-        """End a reservation; a cost above 0 counts in the team's means. False if there is none."""
+        """End a ticket's reservation; return False if it has none.
+
+        A finite cost above 0, in cost units, is added to the team's mean costs.
+        """
         reservation = self.reservations.pop(ticket_id, None)
         if reservation is None:
             return False
@@ -268,7 +284,7 @@
         return True
 
     def remove_from_orders(self, entry: WaitingTicket) -> None:
-        """Remove a waiting ticket from every order."""
+        """Remove a waiting ticket from its group and from the orders of groups and deadlines."""
         del self.waiting[entry.ticket.id]
         self.deadlines.remove((entry.ticket.deadline, entry.ticket.id))
         group = self.groups[entry.group]
@@ -276,7 +292,7 @@
         self.reposition(entry.group)
 
     def reposition(self, name: str) -> None:
-        """Move a queue to the place that its rank and its first ticket give it."""
+        """Update a group's place in the order; delete the group if it has no tickets."""
         group = self.groups.get(name)
         if group is None:
             return
@@ -298,7 +314,7 @@
 def create_policy(
     name: settings.QueuePolicyName, ledger: ledger_module.VirtualTimeLedger
 ) -> QueuePolicy:
-    """Return the policy with this name."""
+    """Return a new policy for the configured name."""
     if name is settings.QueuePolicyName.FAIR_SHARE:
         return FairSharePolicy(ledger)
     if name is settings.QueuePolicyName.FIRST_COME_FIRST_SERVED:
--- a/src/masticward/state/first_token.py
+++ b/src/masticward/state/first_token.py
@@ -1,23 +1,24 @@
-"""Judges first-token times: which are so slow that the engine must be taken for cold."""
+"""Detection of cold engines by first-token times that are far above the mean."""
 
+# A first token that takes longer than this multiple of the mean time indicates a cold engine.
 THRESHOLD_FACTOR = 4.0
-# Scheduling pauses of a busy instance reach tens of milliseconds and are no sign of a cold engine.
+# Scheduling pauses of a busy instance reach tens of milliseconds and do not indicate a cold engine.
 MINIMUM_THRESHOLD_SECONDS = 0.1
 MINIMUM_SAMPLES = 5
 SMOOTHING_FACTOR = 0.05
 TOLERANCE_FACTOR = 1.25
-# Halves what is tolerated in about 700 samples.
+# Per sample; the tolerated time is halved in about 700 samples.
 TOLERANCE_DECAY = 0.999
-# Twice the usual load period and some delay.
+# Twice the usual period of load reports plus some delay.
 MAXIMUM_REPORT_GAP_SECONDS = 1.2
 
 
 class FirstTokenTimes:
-    """The mean first-token time of one endpoint, in seconds, and the bound above it.
+    """The mean first-token time of one endpoint and the threshold for a cold engine.
 
-    With cached prompt prefixes most first tokens come much faster than those of new prompts. If a
-    slow one turns out to be a false alarm, its time is tolerated from then on, or the endpoint
-    would return to cold with every new prompt.
+    Times are monotonic seconds. Prompts with a cached prefix get their first token much faster than
+    new prompts. If a slow first token turns out to be a false alarm, its time is tolerated from
+    then on; otherwise the endpoint would return to cold with every new prompt.
     """
 
     __slots__ = (
@@ -42,7 +43,7 @@
         self.last_report_at = 0.0
 
     def threshold_seconds(self) -> float | None:
-        """Return the time above which the endpoint counts as cold; None without a mean."""
+        """Return the time above which the endpoint counts as cold; None with too few samples."""
         if self.samples < MINIMUM_SAMPLES:
             return None
         return max(
@@ -50,12 +51,15 @@
         )
 
     def is_slow(self, seconds: float) -> bool:
-        """Tell whether a first token came too slowly."""
+        """Return whether a first-token time is above the threshold."""
         threshold = self.threshold_seconds()
         return threshold is not None and seconds > threshold
 
     def add_sample(self, seconds: float) -> None:
-        """Move the mean towards a sample, clipped to the bound; the first are averaged plainly."""
+        """Add a sample, clipped to the threshold, to the mean.
+
+        The mean is arithmetic over the first samples and then an exponential moving average.
+        """
         threshold = self.threshold_seconds()
         sample = seconds if threshold is None else min(seconds, threshold)
         self.samples += 1
@@ -64,7 +68,7 @@
         self.tolerated_seconds *= TOLERANCE_DECAY
 
     def note_suspected_cold(self, seconds: float, now: float) -> None:
-        """Remember a time that led back to cold, until load reports clear it or confirm it."""
+        """Record a time that led to a return to cold, until load reports confirm or refute it."""
         if self.suspected_at is None:
             self.suspected_at = now
             self.suspected_call_start = now
@@ -73,11 +77,11 @@
         self.suspected_seconds = max(self.suspected_seconds, seconds)
 
     def note_report(self, cold: bool, shows_after: float, now: float) -> None:
-        """Take in a load report that shows the endpoint as it was after ``shows_after``.
+        """Apply a load report that shows the state of the endpoint after ``shows_after``.
 
-        A suspicion was a false alarm only if reports came without a gap and none was cold, from
-        before the start of the slow call until now. A cold start that ended while reports were
-        missing is no false alarm.
+        A suspicion was a false alarm only if load reports arrived without a gap and none was cold
+        from before the start of the slow call until now. With a gap, a cold start may have ended
+        while reports were missing.
         """
         if cold:
             self.not_cold_since = None
--- a/src/masticward/state/ledger.py
+++ b/src/masticward/state/ledger.py
@@ -1,7 +1,7 @@
 """Virtual times of teams and the service counters that are included in them.
 
-Virtual times are in cost units divided by share. A ledger is passive while no team is active; a
-standby dispatcher stays passive and only records counters until its first ticket arrives.
+Virtual times are in cost units divided by share. While no team is active, a ledger only records
+the agents' counters; a standby dispatcher does so until its first ticket arrives.
 """
 
 import collections.abc
@@ -10,29 +10,32 @@
 import msgspec
 
 UNKNOWN_TEAM_SHARE = 1.0
-# Weight of the newest finished request in a team's recent means; about the last 9 requests count.
+# Weight of the newest finished request in a team's moving averages, which cover about 9 requests.
 SMOOTHING_FACTOR = 0.2
-# A corrected hint counts up to this multiple of the corrected mean. With multiples of the plain
-# mean, right hints of teams that mix short and long requests were cut off too.
+# Upper limit of a corrected cost hint, as a multiple of the team's root mean square cost. A limit
+# by the plain mean also cut off correct hints of teams that mix short and long requests.
 HINT_LIMIT_FACTOR = 3.0
-# Smaller relative changes of a virtual time are rounding errors and do not change the order.
+# Relative changes of a virtual time up to this size are rounding errors and do not reorder teams.
 RELATIVE_TOLERANCE = 1e-12
 
 
 class FairShareParameters(msgspec.Struct, frozen=True, kw_only=True):
-    """What the configuration says about sharing one service. Costs are in cost units."""
+    """The configured shares and cost limits of one service. Costs are in cost units."""
 
     shares: dict[str, float]
     maximum_cost: float
     debt_cap: float
 
     def share_of(self, team: str) -> float:
-        """Return the share of a team; an unknown team has share 1."""
+        """Return the configured share of a team, 1 for an unknown team."""
         return self.shares.get(team, UNKNOWN_TEAM_SHARE)
 
 
 class TeamVirtualTime(msgspec.Struct, frozen=True):
-    """The virtual time of one active team without its reservations, and its mean cost."""
+    """The virtual time of one active team without its reservations, and its mean cost.
+
+    The virtual time is in cost units divided by share, the mean cost in cost units.
+    """
 
     team: str
     virtual_time: float
@@ -40,7 +43,7 @@
 
 
 class IncludedCounter(msgspec.Struct, frozen=True):
-    """The total of one agent incarnation and team that a snapshot includes, in cost units."""
+    """The service of one agent incarnation to one team that a snapshot includes, in cost units."""
 
     agent_id: str
     incarnation: int
@@ -49,7 +52,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """What a new dispatcher needs besides the agents' counters."""
+    """The state from which a new dispatcher continues, together with the agents' counters."""
 
     system_virtual_time: float
     teams: tuple[TeamVirtualTime, ...]
@@ -58,7 +61,7 @@
 
 
 class AgentCounters:
-    """The totals that one agent incarnation last reported, in cost units by team."""
+    """The highest totals that one agent incarnation reported, in cost units by team."""
 
     __slots__ = ("incarnation", "totals")
 
@@ -68,15 +71,16 @@
 
 
 class TeamAccount:
-    """The virtual time of one team.
-
-    ``charged`` is the virtual time without reservations, ``reserved`` the reserved cost units,
-    ``running`` and ``waiting`` count tickets, ``sort_time`` is the virtual time by which the queue
-    orders the team, None while it has no waiting ticket. ``mean_cost`` and
-    ``mean_square_cost`` are recent means over the finished requests; ``mean_hint`` and
-    ``mean_hinted_cost`` are those of hint and true cost over the requests that had a hint.
-    ``hint_error`` and ``mean_error`` are the recent distances of these costs from what the
-    corrected hint and the mean cost foretold.
+    """The virtual time, reservations and cost statistics of one team.
+
+    ``charged`` is the virtual time without reservations, ``reserved`` the reserved cost units.
+    ``running`` and ``waiting`` count tickets. ``queue_virtual_time`` is the virtual time by which
+    the queue orders the team, None while it has no waiting ticket.
+
+    The other figures are exponential moving averages over the finished requests. ``mean_cost`` and
+    ``mean_square_cost`` cover all of them; ``mean_hint`` and ``mean_hinted_cost`` are the hint and
+    the actual cost of those that had a hint. ``hint_error`` and ``mean_error`` are the absolute
+    errors of the corrected hint and of the mean cost as predictions of the actual cost.
     """
 
     __slots__ = (
@@ -87,10 +91,10 @@
         "mean_hint",
         "mean_hinted_cost",
         "mean_square_cost",
+        "queue_virtual_time",
         "reserved",
         "running",
         "share",
-        "sort_time",
         "team",
         "waiting",
     )
@@ -108,32 +112,35 @@
         self.mean_hinted_cost = 0.0
         self.hint_error = 0.0
         self.mean_error = 0.0
-        self.sort_time: float | None = None
+        self.queue_virtual_time: float | None = None
 
     @property
     def rms_cost(self) -> float:
-        """The mean cost corrected for its spread: the root mean square, not below the mean."""
+        """The root mean square cost, but not less than the mean cost."""
         return max(self.mean_cost, math.sqrt(self.mean_square_cost))
 
     @property
     def uses_hints(self) -> bool:
-        """Whether hints count: without a mean cost, or if they foretell costs better than it."""
+        """Whether hints predict costs better than the mean cost; True without a mean cost."""
         return self.mean_cost == 0.0 or self.hint_error < self.mean_error
 
     def correct_hint(self, hint: float) -> float:
-        """Return a hint multiplied by the recent ratio of true cost to hint."""
+        """Return a hint multiplied by the recent ratio of actual cost to hint."""
         return hint * self.mean_hinted_cost / self.mean_hint if self.mean_hint else hint
 
     @property
     def effective(self) -> float:
-        """The virtual time with reservations, by which teams are ordered."""
+        """The virtual time including reservations, by which teams are ordered."""
         return self.charged + self.reserved / self.share
 
 
 class VirtualTimeLedger:
     """The virtual times of all teams of one service.
 
-    ``on_change(team)`` is called after the effective virtual time of a backlogged team changed.
+    ``on_change(team)`` is called after the effective virtual time of a backlogged team changed. A
+    team is backlogged while it has waiting tickets, and active while it has waiting or running
+    tickets. ``system_time`` is the system virtual time: the effective virtual time that the team of
+    the latest dispatched ticket had before its reservation.
     """
 
     __slots__ = (
@@ -151,27 +158,26 @@
     def __init__(self, parameters: FairShareParameters) -> None:
         self.parameters = parameters
         self.accounts: dict[str, TeamAccount] = {}
-        # Teams with waiting or running tickets.
         self.active: set[str] = set()
-        # The virtual time at which the latest ticket was taken.
         self.system_time = 0.0
         self.counters: dict[str, AgentCounters] = {}
         self.included_total = 0.0
         self.pending_snapshot: Snapshot | None = None
-        # Teams of an adopted snapshot that have not been active here yet. They were active there,
-        # so they are not lifted at first: their tickets arrive one after the other.
+        # Teams of an adopted snapshot that have not been backlogged since. They were active at the
+        # previous dispatcher and their tickets arrive one by one, so their virtual times are not
+        # raised when they become backlogged for the first time.
         self.restored_teams: set[str] = set()
         self.on_change: collections.abc.Callable[[str], None] = ignore_change
 
     def set_parameters(self, parameters: FairShareParameters) -> None:
-        """Use other shares and limits from now on; earlier charges stay as they are."""
+        """Replace the shares and limits; charges made before are not recomputed."""
         self.parameters = parameters
         for account in self.accounts.values():
             account.share = parameters.share_of(account.team)
-            self.reposition(account)
+            self.notify_change(account)
 
     def account_of(self, team: str) -> TeamAccount:
-        """Return the account of a team, opened at the system's virtual time if it is new."""
+        """Return the account of a team; a new one starts at the system virtual time."""
         account = self.accounts.get(team)
         if account is None:
             account = TeamAccount(team, self.parameters.share_of(team), self.system_time)
@@ -179,14 +185,15 @@
         return account
 
     def effective_of(self, team: str) -> float:
-        """Return the virtual time of a team with its reservations."""
+        """Return the virtual time of a team including its reservations."""
         return self.account_of(team).effective
 
     def estimate(self, team: str, hint: float) -> float:
         """Return the cost units to reserve for a request.
 
         This is the larger of the team's mean cost and the hint. Once the team has a mean cost, the
-        hint is corrected and limited, and it counts only if hints are better than the mean.
+        hint is corrected and limited, and it is ignored unless hints predict costs better than the
+        mean.
         """
         account = self.account_of(team)
         expected = self.valid_hint(hint) if account.uses_hints else 0.0
@@ -196,22 +203,22 @@
         return min(expected, self.parameters.maximum_cost)
 
     def valid_hint(self, hint: float) -> float:
-        """Return a hint clamped to the costs that are possible; 0 if it is no finite number."""
+        """Return a hint clamped to the possible costs; 0 if it is not a finite number."""
         return min(max(hint, 0.0), self.parameters.maximum_cost) if math.isfinite(hint) else 0.0
 
     def add_waiting(self, team: str) -> None:
-        """Count one more waiting ticket of a team; one that had none joins the backlogged teams."""
+        """Count one more waiting ticket of a team; the first one makes the team backlogged."""
         account = self.activate(team)
         if account.waiting == 0:
             self.start_backlog(account)
         account.waiting += 1
 
     def remove_waiting(self, team: str) -> None:
-        """Count one waiting ticket less."""
+        """Count one waiting ticket less; a team without tickets becomes inactive."""
         account = self.accounts[team]
         account.waiting -= 1
         if account.waiting == 0:
-            account.sort_time = None
+            account.queue_virtual_time = None
             self.deactivate_if_idle(account)
 
     def reserve(self, team: str, cost: float) -> None:
@@ -220,7 +227,7 @@
         self.system_time = account.effective
         account.running += 1
         account.reserved += cost
-        self.reposition(account)
+        self.notify_change(account)
 
     def adjust_reservation(self, team: str, cost: float) -> None:
         """Add cost units, which may be negative, to the reservations of a team."""
@@ -228,16 +235,16 @@
         account.reserved = max(0.0, account.reserved + cost)
 
     def release(self, team: str, cost: float) -> None:
-        """End one running ticket and drop what is still reserved for it."""
+        """Count one running ticket less and release the cost units still reserved for it."""
         account = self.accounts[team]
         account.running -= 1
-        # The sum of reservations collects rounding errors, so it starts afresh when none is left.
+        # Reset to 0 without running tickets, so that rounding errors of the sum do not accumulate.
         account.reserved = max(0.0, account.reserved - cost) if account.running else 0.0
-        self.reposition(account)
+        self.notify_change(account)
         self.deactivate_if_idle(account)
 
     def observe_cost(self, team: str, cost: float, hint: float) -> None:
-        """Let the cost of a finished request count in the recent means of its team."""
+        """Add the cost of a finished request to the moving averages of its team."""
         account = self.account_of(team)
         hint = self.valid_hint(hint)
         if hint > 0.0 and account.mean_cost > 0.0:
@@ -252,77 +259,78 @@
             account.mean_hinted_cost = updated_mean(account.mean_hinted_cost, cost)
 
     def activate(self, team: str) -> TeamAccount:
-        """Count a team as active; the first one ends the passive state."""
+        """Mark a team as active; the first active team adopts a pending snapshot."""
         if not self.active and self.pending_snapshot is not None:
             self.adopt(self.pending_snapshot)
         self.active.add(team)
         return self.account_of(team)
 
     def start_backlog(self, account: TeamAccount) -> None:
-        """Lift a team that becomes backlogged to the system's virtual time and cap its debt.
+        """Raise a team that becomes backlogged to the system virtual time and cap its debt.
 
-        A team that only runs is lifted too when its queue is empty: otherwise one that always
-        runs a little would collect credit, and pull down the time to which others are lifted.
+        This includes a team that still has running tickets. Otherwise a team that always runs a few
+        requests without ever queueing would accumulate credit, and would lower the virtual time to
+        which other teams are raised.
         """
         system_time = self.system_time
         if account.team not in self.restored_teams:
-            lifted = system_time - account.reserved / account.share
-            account.charged = max(account.charged, lifted)
+            minimum = system_time - account.reserved / account.share
+            account.charged = max(account.charged, minimum)
         self.restored_teams.discard(account.team)
         self.cap_debt(account, system_time)
-        account.sort_time = account.effective
+        account.queue_virtual_time = account.effective
 
     def deactivate_if_idle(self, account: TeamAccount) -> None:
-        """Take a team without waiting and running tickets out of the active teams."""
+        """Remove a team without waiting and running tickets from the active teams."""
         if not account.waiting and not account.running:
             self.active.discard(account.team)
 
     def cap_debt(self, account: TeamAccount, system_time: float) -> None:
-        """Forgive the part of a team's debt that lies above the cap.
+        """Limit the distance of a team's virtual time above the system virtual time.
 
-        Reservations are not capped: they end by themselves, and a cap on them would credit a team
-        whose estimate was too high.
+        Reservations are not capped: they end with their requests, and capping them would give
+        credit to a team whose cost estimate was too high.
         """
         limit = system_time + self.parameters.debt_cap / account.share
         account.charged = min(account.charged, limit)
 
-    def reposition(self, account: TeamAccount) -> None:
-        """Tell the queue that the virtual time of a backlogged team changed."""
-        if account.sort_time is None:
+    def notify_change(self, account: TeamAccount) -> None:
+        """Call ``on_change`` if the effective virtual time of a backlogged team has changed."""
+        if account.queue_virtual_time is None:
             return
         effective = account.effective
-        if abs(effective - account.sort_time) <= RELATIVE_TOLERANCE * abs(effective):
+        if abs(effective - account.queue_virtual_time) <= RELATIVE_TOLERANCE * abs(effective):
             return
-        account.sort_time = effective
+        account.queue_virtual_time = effective
         self.on_change(account.team)
 
     def charge_counters(
         self, agent_id: str, incarnation: int, totals: collections.abc.Mapping[str, float]
     ) -> list[TeamAccount]:
-        """Charge the increase of an agent's counters; the caller repositions what is returned.
+        """Charge the increase of an agent's counters to the teams and return the charged accounts.
 
-        Counters of a lower incarnation and totals that did not grow are ignored. While no team is
-        active, totals are only recorded.
+        The caller passes each of them to ``notify_change``. Counters of a lower incarnation and
+        totals that did not grow are ignored. While no team is active, totals are only recorded.
         """
-        known = self.counters.get(agent_id)
-        if known is not None and incarnation < known.incarnation:
+        recorded = self.counters.get(agent_id)
+        if recorded is not None and incarnation < recorded.incarnation:
             return []
-        if known is None or incarnation > known.incarnation:
-            known = AgentCounters(incarnation, {})
-            self.counters[agent_id] = known
+        if recorded is None or incarnation > recorded.incarnation:
+            recorded = AgentCounters(incarnation, {})
+            self.counters[agent_id] = recorded
         charged = []
         system_time = self.system_time
         for team, total in totals.items():
-            increase = total - known.totals.get(team, 0.0)
+            increase = total - recorded.totals.get(team, 0.0)
             if not math.isfinite(total) or increase <= 0.0:
                 continue
-            known.totals[team] = total
+            recorded.totals[team] = total
             if self.active:
                 charged.append(self.charge(team, increase, system_time))
         return charged
 
     def charge(self, team: str, cost: float, system_time: float) -> TeamAccount:
-        """Add service in cost units to a team's virtual time, up to the debt cap."""
+        """Charge cost units to a team's virtual time, up to the debt cap."""
         account = self.account_of(team)
         account.charged += cost / account.share
         self.cap_debt(account, system_time)
@@ -330,7 +338,7 @@
         return account
 
     def snapshot(self) -> Snapshot:
-        """Return the active teams and the counters included in their virtual times."""
+        """Return the state of the active teams and the counters that it includes."""
         names = self.active
         teams = tuple(
             TeamVirtualTime(name, self.accounts[name].charged, self.accounts[name].mean_cost)
@@ -349,23 +357,24 @@
         )
 
     def drop_departed_agents(self, members: collections.abc.Set[str]) -> None:
-        """Forget the counters of agents that are no members and served no active team."""
-        for agent_id in [known for known in self.counters if known not in members]:
+        """Delete the counters of agents that are not members and have served no active team."""
+        for agent_id in [agent for agent in self.counters if agent not in members]:
             if self.active.isdisjoint(self.counters[agent_id].totals):
                 del self.counters[agent_id]
 
     def offer_snapshot(self, snapshot: Snapshot) -> bool:
-        """Consider a stored snapshot; True if it includes more service than is known here.
+        """Accept a stored snapshot if it includes more service than this ledger; True if so.
 
-        It is adopted at once while teams are active, otherwise when the first becomes active.
+        An empty ledger without a pending snapshot accepts any. The snapshot is adopted at once
+        while teams are active, otherwise as soon as the first team becomes active.
         """
-        known = (
+        included_total = (
             self.included_total
             if self.pending_snapshot is None
             else self.pending_snapshot.included_total
         )
-        fresh = self.pending_snapshot is None and not self.accounts
-        if snapshot.included_total <= max(known, self.included_total) and not fresh:
+        is_empty = self.pending_snapshot is None and not self.accounts
+        if snapshot.included_total <= max(included_total, self.included_total) and not is_empty:
             return False
         self.pending_snapshot = snapshot
         if self.active:
@@ -373,28 +382,28 @@
         return True
 
     def adopt(self, snapshot: Snapshot) -> None:
-        """Replace the virtual times by a snapshot and charge what counters grew since then."""
+        """Replace the virtual times by those of a snapshot and charge the service since then."""
         self.pending_snapshot = None
-        times = {entry.team: entry for entry in snapshot.teams}
-        for name, entry in times.items():
+        snapshot_teams = {entry.team: entry for entry in snapshot.teams}
+        for name, entry in snapshot_teams.items():
             account = self.account_of(name)
             account.charged = entry.virtual_time
             account.mean_cost = account.mean_cost or entry.mean_cost
         for name, account in self.accounts.items():
-            if name not in times:
+            if name not in snapshot_teams:
                 account.charged = snapshot.system_virtual_time
         self.system_time = snapshot.system_virtual_time
         self.included_total = snapshot.included_total
-        self.restored_teams = {name for name in times if name not in self.active}
-        increases = self.merge_snapshot_counters(snapshot.included, times.keys())
+        self.restored_teams = {name for name in snapshot_teams if name not in self.active}
+        increases = self.merge_snapshot_counters(snapshot.included, snapshot_teams.keys())
         for account in self.accounts.values():
-            self.reposition(account)
+            self.notify_change(account)
         system_time = self.system_time
         for name, cost in increases.items():
-            self.reposition(self.charge(name, cost, system_time))
+            self.notify_change(self.charge(name, cost, system_time))
 
     def end_restoration(self) -> None:
-        """Lift teams of the adopted snapshot like others when they become active from now on."""
+        """Treat the remaining teams of the adopted snapshot like all others from now on."""
         self.restored_teams.clear()
 
     def merge_snapshot_counters(
@@ -402,16 +411,17 @@
         included: collections.abc.Iterable[IncludedCounter],
         teams: collections.abc.Set[str],
     ) -> dict[str, float]:
-        """Return by team what the recorded counters exceed the included ones, and record both.
+        """Merge a snapshot's counters into the recorded ones and return the excess of the latter.
 
-        A team that is not in the snapshot was idle; it starts again at the system's virtual time.
+        The excess is in cost units by team. It covers only the given teams, those of the snapshot:
+        any other team was idle and starts again at the system virtual time.
         """
         snapshot_counters: dict[str, AgentCounters] = {}
         for entry in included:
-            known = snapshot_counters.setdefault(
+            agent_counters = snapshot_counters.setdefault(
                 entry.agent_id, AgentCounters(entry.incarnation, {})
             )
-            known.totals[entry.team] = entry.total
+            agent_counters.totals[entry.team] = entry.total
         increases: dict[str, float] = {}
         for agent_id, counters in self.counters.items():
             base = snapshot_counters.get(agent_id)
@@ -430,19 +440,19 @@
         return increases
 
     def record_snapshot_counters(self, agent_id: str, base: AgentCounters) -> None:
-        """Record the counters of a snapshot, so that later reports are compared with them."""
-        known = self.counters.get(agent_id)
-        if known is None or known.incarnation < base.incarnation:
+        """Record one agent's counters of a snapshot, so that only later increases are charged."""
+        recorded = self.counters.get(agent_id)
+        if recorded is None or recorded.incarnation < base.incarnation:
             self.counters[agent_id] = base
-        elif known.incarnation == base.incarnation:
+        elif recorded.incarnation == base.incarnation:
             for team, total in base.totals.items():
-                known.totals[team] = max(total, known.totals.get(team, 0.0))
+                recorded.totals[team] = max(total, recorded.totals.get(team, 0.0))
 
 
 def updated_mean(mean: float, sample: float) -> float:
-    """Return a recent mean after one more sample; a mean of 0 stands for none."""
+    """Return a moving average after one more sample; a mean of 0 means that there was none."""
     return mean + SMOOTHING_FACTOR * (sample - mean) if mean else sample
 
 
 def ignore_change(team: str) -> None:
-    """Do nothing; used until a queue listens."""
+    """Do nothing; the default for ``on_change`` until a queue sets its own."""
--- a/src/masticward/state/service_counters.py
+++ b/src/masticward/state/service_counters.py
@@ -1,8 +1,8 @@
-"""Service rendered by one agent incarnation, by team."""
+"""Counters of the service that one agent incarnation has provided to each team."""
 
 
 class ServiceCounters:
-    """Cost units by team since the start of the incarnation. Counters only grow."""
+    """Cost units by team since the start of the incarnation. Counters never decrease."""
 
     __slots__ = ("totals",)
 
@@ -10,7 +10,7 @@
         self.totals: dict[str, float] = {}
 
     def add(self, team: str, cost: float) -> None:
-        """Add the cost of a piece of work. Raises ValueError if it is negative."""
+        """Add service in cost units to a team's counter. Raises ValueError if it is negative."""
         if cost < 0:
             raise ValueError(f"cost {cost} of team {team!r} is negative")
         if cost:
--- a/tests/lib/queue_oracle.py
+++ b/tests/lib/queue_oracle.py
@@ -1,14 +1,16 @@
-"""A slow model of the fair queue that computes every state anew from the list of events."""
+"""Reference model of the fair queue that recomputes its state from the list of all events."""
 
 import collections
 import math
 import typing
 
-MEAN_WEIGHT = 0.2
-HINT_LIMIT = 3.0
+SMOOTHING_FACTOR = 0.2
+HINT_LIMIT_FACTOR = 3.0
 
 
 class Ticket(typing.NamedTuple):
+    """A waiting ticket; ``order`` is priority, arrival and sequence number."""
+
     id: str
     team: str
     hint: float
@@ -16,7 +18,7 @@
 
 
 class Finished(typing.NamedTuple):
-    """A finished request with the mean cost of its team before it."""
+    """A finished request and the mean cost of its team before that request."""
 
     cost: float
     hint: float
@@ -24,7 +26,7 @@
 
 
 class State:
-    """Everything the fair queue should hold after a list of events."""
+    """The expected state of the fair queue after a list of events."""
 
     def __init__(self, shares: dict[str, float], maximum_cost: float, debt_cap: float) -> None:
         self.shares = shares
@@ -35,12 +37,12 @@
         self.finished: dict[str, list[Finished]] = collections.defaultdict(list)
         self.waiting: dict[str, Ticket] = {}
         self.hints: dict[str, float] = {}
-        # Team, estimate and progress by ticket.
+        # Team, estimated cost and cost so far by ticket.
         self.running: dict[str, tuple[str, float, float]] = {}
-        self.known: dict[str, tuple[int, dict[str, float]]] = {}
-        self.last_system = 0.0
-        self.total = 0.0
-        self.restored: set[str] = set()
+        self.counters: dict[str, tuple[int, dict[str, float]]] = {}
+        self.system_time = 0.0
+        self.included_total = 0.0
+        self.restored_teams: set[str] = set()
 
     def share(self, team: str) -> float:
         return self.shares.get(team, 1.0)
@@ -61,22 +63,22 @@
             if owner == team
         )
 
-    def system(self) -> float:
-        return self.last_system
+    def system_virtual_time(self) -> float:
+        return self.system_time
 
-    def cap(self, team: str, system: float) -> None:
+    def cap_debt(self, team: str, system: float) -> None:
         limit = system + self.debt_cap / self.share(team)
         self.charged[team] = min(self.charged[team], limit)
 
     def add(self, ticket: Ticket) -> None:
         if ticket.team not in self.backlogged():
-            system = self.system()
+            system = self.system_virtual_time()
             before = self.charged.get(ticket.team, system)
-            least = system - self.reserved(ticket.team) / self.share(ticket.team)
-            lifted = before if ticket.team in self.restored else max(before, least)
-            self.charged[ticket.team] = lifted
-            self.cap(ticket.team, system)
-            self.restored.discard(ticket.team)
+            minimum = system - self.reserved(ticket.team) / self.share(ticket.team)
+            raised = before if ticket.team in self.restored_teams else max(before, minimum)
+            self.charged[ticket.team] = raised
+            self.cap_debt(ticket.team, system)
+            self.restored_teams.discard(ticket.team)
         self.waiting[ticket.id] = ticket
 
     def drop(self, ticket_id: str) -> None:
@@ -84,31 +86,31 @@
 
     def take(self, ticket_id: str) -> None:
         ticket = self.waiting.pop(ticket_id)
-        self.last_system = self.effective(ticket.team)
+        self.system_time = self.effective(ticket.team)
         self.hints[ticket_id] = hint = min(ticket.hint, self.maximum_cost)
         estimate = min(self.estimate(ticket.team, hint), self.maximum_cost)
         self.running[ticket_id] = (ticket.team, estimate, 0.0)
 
     def estimate(self, team: str, hint: float) -> float:
-        """Return the larger of the mean and the corrected hint, which is limited."""
+        """Return the larger of the mean cost and the corrected and limited hint."""
         mean = self.means[team]
         if mean == 0.0:
             return hint
         finished = self.finished[team]
         if not self.hints_are_better(team):
             return mean
-        square = recent_mean([done.cost * done.cost for done in finished])
-        limit = HINT_LIMIT * max(mean, math.sqrt(square))
+        square = moving_average([done.cost * done.cost for done in finished])
+        limit = HINT_LIMIT_FACTOR * max(mean, math.sqrt(square))
         return max(mean, min(corrected(hint, finished), limit))
 
     def hints_are_better(self, team: str) -> bool:
-        """Compare the errors of corrected hints and means over the finished requests."""
+        """Return whether corrected hints predicted the finished requests better than the mean."""
         hint_error = mean_error = 0.0
         for number, done in enumerate(self.finished[team]):
             if done.hint > 0.0 and done.mean_before > 0.0:
-                foretold = corrected(done.hint, self.finished[team][:number])
-                hint_error += MEAN_WEIGHT * (abs(done.cost - foretold) - hint_error)
-                mean_error += MEAN_WEIGHT * (abs(done.cost - done.mean_before) - mean_error)
+                predicted = corrected(done.hint, self.finished[team][:number])
+                hint_error += SMOOTHING_FACTOR * (abs(done.cost - predicted) - hint_error)
+                mean_error += SMOOTHING_FACTOR * (abs(done.cost - done.mean_before) - mean_error)
         return hint_error < mean_error
 
     def settle(self, ticket_id: str, cost: float) -> None:
@@ -116,7 +118,7 @@
         if cost > 0.0:
             mean = self.means[team]
             self.finished[team].append(Finished(cost, self.hints[ticket_id], mean))
-            self.means[team] = cost if mean == 0.0 else mean + MEAN_WEIGHT * (cost - mean)
+            self.means[team] = cost if mean == 0.0 else mean + SMOOTHING_FACTOR * (cost - mean)
         del self.running[ticket_id]
 
     def report(
@@ -137,57 +139,57 @@
                 self.settle(ticket_id, cost)
 
     def charge_totals(self, agent: str, incarnation: int, totals: dict[str, float]) -> None:
-        known_incarnation, known = self.known.get(agent, (0, {}))
-        if incarnation < known_incarnation:
+        recorded_incarnation, recorded = self.counters.get(agent, (0, {}))
+        if incarnation < recorded_incarnation:
             return
-        if incarnation > known_incarnation:
-            known = {}
-        self.known[agent] = (incarnation, known)
-        system = self.system()
+        if incarnation > recorded_incarnation:
+            recorded = {}
+        self.counters[agent] = (incarnation, recorded)
+        system = self.system_virtual_time()
         for team, total in totals.items():
-            increase = total - known.get(team, 0.0)
+            increase = total - recorded.get(team, 0.0)
             if increase <= 0.0:
                 continue
-            known[team] = total
+            recorded[team] = total
             if self.active():
                 self.charge(team, increase, system)
 
     def charge(self, team: str, cost: float, system: float) -> None:
         self.charged[team] = self.charged.get(team, system) + cost / self.share(team)
-        self.cap(team, system)
-        self.total += cost
+        self.cap_debt(team, system)
+        self.included_total += cost
 
     def recover(self, stored: "State", counters: dict[str, tuple[int, dict[str, float]]]) -> None:
-        """Become a new dispatcher that has ``stored`` as snapshot and the agents' counters."""
+        """Initialize a new dispatcher from the snapshot ``stored`` and the agents' counters."""
         teams = stored.active()
         self.charged = {team: stored.charged[team] for team in teams}
         self.means = collections.defaultdict(float, {team: stored.means[team] for team in teams})
-        self.last_system = stored.system()
-        self.total = stored.total
-        self.restored = set(teams)
-        self.known = {
-            agent: (incarnation, {team: known[team] for team in known if team in teams})
-            for agent, (incarnation, known) in stored.known.items()
-            if any(team in teams for team in known)
+        self.system_time = stored.system_virtual_time()
+        self.included_total = stored.included_total
+        self.restored_teams = set(teams)
+        self.counters = {
+            agent: (incarnation, {team: recorded[team] for team in recorded if team in teams})
+            for agent, (incarnation, recorded) in stored.counters.items()
+            if any(team in teams for team in recorded)
         }
         increases: dict[str, float] = collections.defaultdict(float)
         for agent, (incarnation, totals) in counters.items():
-            known_incarnation, known = self.known.get(agent, (0, {}))
-            base = known if incarnation == known_incarnation else {}
+            recorded_incarnation, recorded = self.counters.get(agent, (0, {}))
+            base = recorded if incarnation == recorded_incarnation else {}
             for team in totals.keys() & teams:
                 increases[team] += max(0.0, totals[team] - base.get(team, 0.0))
-            self.known[agent] = (incarnation, {**base, **totals})
+            self.counters[agent] = (incarnation, {**base, **totals})
         for team, cost in increases.items():
             if cost:
-                self.charge(team, cost, self.last_system)
+                self.charge(team, cost, self.system_time)
 
 
-def recent_mean(samples: list[float]) -> float:
-    """Return the mean of samples whose weights fall from the newest to the oldest; 0 if none."""
+def moving_average(samples: list[float]) -> float:
+    """Return the exponential moving average of samples, oldest first; 0 if there are none."""
     weights = [
-        MEAN_WEIGHT * (1.0 - MEAN_WEIGHT) ** age
+        SMOOTHING_FACTOR * (1.0 - SMOOTHING_FACTOR) ** age
         if age < len(samples) - 1
-        else (1.0 - MEAN_WEIGHT) ** age
+        else (1.0 - SMOOTHING_FACTOR) ** age
         for age in reversed(range(len(samples)))
     ]
     return math.fsum(weight * sample for weight, sample in zip(weights, samples, strict=True))
@@ -198,15 +200,15 @@
     hinted = [done for done in finished if done.hint > 0.0]
     if not hinted:
         return hint
-    cost = recent_mean([done.cost for done in hinted])
-    return hint * cost / recent_mean([done.hint for done in hinted])
+    cost = moving_average([done.cost for done in hinted])
+    return hint * cost / moving_average([done.hint for done in hinted])
 
 
 class Oracle:
-    """The list of events and the state that follows from it."""
+    """The list of events and the state that results from them."""
 
     def __init__(self, shares: dict[str, float], maximum_cost: float, debt_cap: float) -> None:
-        self.terms = (shares, maximum_cost, debt_cap)
+        self.parameters = (shares, maximum_cost, debt_cap)
         self.events: list[tuple[typing.Any, ...]] = []
 
     def append(self, name: str, *arguments: typing.Any) -> None:
@@ -215,11 +217,11 @@
     def state(self, length: int | None = None) -> State:
         """Return the state after the first ``length`` events, or after all of them."""
         events = self.events[:length]
-        state = State(*self.terms)
+        state = State(*self.parameters)
         for name, *arguments in events:
             if name == "recover":
                 index, counters = arguments
-                state = State(*self.terms)
+                state = State(*self.parameters)
                 state.recover(self.state(index), counters)
             else:
                 getattr(state, name)(*arguments)
--- a/tests/lib/shared_pool.py
+++ b/tests/lib/shared_pool.py
@@ -1,4 +1,4 @@
-"""A pool of slots whose running requests render one cost unit per step, for fairness tests."""
+"""Simulated pool of slots for fairness tests; each running request costs one unit per step."""
 
 import collections
 import itertools
@@ -8,11 +8,15 @@
 from masticward.state import fair_queue, ledger
 from tests.lib import dispatch_fleet
 
-AGENT = "agent-1"
+AGENT_ID = "agent-1"
 
 
 class Team:
-    """A team that keeps ``backlog`` tickets waiting."""
+    """A team that keeps ``backlog`` tickets waiting.
+
+    ``costs`` are the possible costs of its requests in cost units; hints are the actual cost
+    multiplied by ``hint_factor``.
+    """
 
     def __init__(
         self,
@@ -30,7 +34,7 @@
 
 
 class SharedPool:
-    """Serves teams through a fair queue and records what each has received."""
+    """Serves teams through a fair queue and records the service of each after every step."""
 
     def __init__(
         self,
@@ -42,17 +46,19 @@
     ) -> None:
         self.teams = {team.name: team for team in teams}
         self.slots = slots
-        self.largest = max(cost for team in teams for cost in team.costs)
-        self.times = ledger.VirtualTimeLedger(
+        self.maximum_request_cost = max(cost for team in teams for cost in team.costs)
+        self.ledger = ledger.VirtualTimeLedger(
             ledger.FairShareParameters(
                 shares={team.name: team.share for team in teams},
-                maximum_cost=maximum_cost or self.largest,
-                debt_cap=slots * self.largest if debt_cap is None else debt_cap,
+                maximum_cost=maximum_cost or self.maximum_request_cost,
+                debt_cap=slots * self.maximum_request_cost if debt_cap is None else debt_cap,
             )
         )
-        self.queue = fair_queue.FairQueue(fair_queue.create_policy(policy, self.times), self.times)
+        self.queue = fair_queue.FairQueue(
+            fair_queue.create_policy(policy, self.ledger), self.ledger
+        )
         self.random = random.Random(7)
-        self.numbers = itertools.count()
+        self.ticket_numbers = itertools.count()
         self.true_costs: dict[str, float] = {}
         self.running: dict[str, tuple[str, float]] = {}
         self.served: collections.Counter[str] = collections.Counter()
@@ -61,16 +67,16 @@
 
     @property
     def bound(self) -> float:
-        """The gap bound of section 6.1 without staged slots."""
-        least_share = min(team.share for team in self.teams.values())
-        return 2 * self.slots * self.largest / least_share
+        """The gap bound of section 6.1 of the design without staged slots."""
+        minimum_share = min(team.share for team in self.teams.values())
+        return 2 * self.slots * self.maximum_request_cost / minimum_share
 
     def refill(self, names: frozenset[str]) -> None:
         waiting = collections.Counter(entry.ticket.team for entry in self.queue.waiting.values())
         for name in sorted(names):
             team = self.teams[name]
             for _ in range(team.backlog - waiting[name]):
-                number = next(self.numbers)
+                number = next(self.ticket_numbers)
                 cost = self.random.choice(team.costs)
                 ticket = dispatch_fleet.ticket(
                     f"t{number}",
@@ -83,7 +89,7 @@
                 self.queue.add(ticket)
 
     def step(self, backlogged: frozenset[str]) -> None:
-        """Fill the free slots, render one cost unit per running request and report it."""
+        """Fill the free slots, serve one cost unit of each running request and report it."""
         self.refill(backlogged)
         while len(self.running) < self.slots:
             taken = self.queue.take(0.0)
@@ -99,7 +105,7 @@
                 finished[ticket_id] = cost + 1.0
         progress = {key: cost for key, (_, cost) in self.running.items()}
         totals = {team: float(count) for team, count in self.served.items()}
-        self.queue.apply_report(AGENT, 1, totals, progress, finished)
+        self.queue.apply_report(AGENT_ID, 1, totals, progress, finished)
         for ticket_id in finished:
             del self.running[ticket_id]
         self.history.append(totals)
@@ -110,7 +116,7 @@
             self.step(names)
 
     def largest_gap(self, first: str, second: str, since: int = 0) -> float:
-        """Return the largest |s_i/w_i - s_j/w_j| over all intervals that start after a step."""
+        """Return the largest |s_i/w_i - s_j/w_j| over all intervals from step ``since`` on."""
         differences = [
             totals.get(first, 0.0) / self.teams[first].share
             - totals.get(second, 0.0) / self.teams[second].share
--- a/tests/unit/test_agent_state.py
+++ b/tests/unit/test_agent_state.py
@@ -1,7 +1,7 @@
-"""Fuzzes the agent's tables against simple oracles.
+"""Fuzzes the agent's state tables against simple oracles.
 
-Guards against a limit that rises without evidence, a slot or an attempt id that serves twice, and
-earlier work of an endpoint that is lost from the count or counted for ever.
+Guards against a limit that rises without successful calls, a slot or an attempt id that is accepted
+twice, and earlier calls of an endpoint that are missing from the estimate or never removed from it.
 """
 
 import unittest
@@ -25,18 +25,18 @@
 
 
 class ClockMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """A machine with a clock of its own, in seconds."""
+    """A state machine with its own clock in seconds."""
 
     now = 100.0
-    pace = 1.0
+    time_scale = 1.0
 
     @rule(step=STEPS)
     def wait(self, step: float) -> None:
-        self.now += step * self.pace
+        self.now += step * self.time_scale
 
 
 class SlotMachine(ClockMachine):
-    """The oracle knows every slot ever issued with its deadline, and those that were used."""
+    """The oracle keeps the deadline of every slot issued and the set of used slots."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -65,7 +65,7 @@
             assert refusal is work.RefusalReason.SLOT_UNKNOWN or left <= -2.0
 
     @invariant()
-    def counts_what_can_be_used(self) -> None:
+    def counts_valid_slots(self) -> None:
         valid = {slot for slot, deadline in self.deadlines.items() if deadline > self.now}
         assert self.table.count_valid(self.now) == len(valid - self.used)
         kept = [slot for slot, deadline in self.deadlines.items() if deadline + 2.0 > self.now]
@@ -73,7 +73,7 @@
 
 
 class AttemptMachine(ClockMachine):
-    """The oracle knows every accepted id with its deadline."""
+    """The oracle keeps the deadline of every accepted id."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -98,21 +98,21 @@
 
 
 class AdmissionMachine(ClockMachine):
-    """The oracle counts the successes since the last raise or sign."""
+    """The oracle counts the successes since the limit last rose or the endpoint became cold."""
 
     def __init__(self) -> None:
         super().__init__()
         self.limit = admission.AdmissionLimit(COLD_LIMIT, WARM_LIMIT, self.now, 1.0)
         self.started_at = self.now
-        self.expected = COLD_LIMIT
-        self.good = 0
+        self.expected_limit = COLD_LIMIT
+        self.successes = 0
         self.reported_at = float("-inf")
         self.cold = False
         self.incarnation = 0
 
-    def fall_back(self) -> None:
-        self.expected = COLD_LIMIT
-        self.good = 0
+    def return_to_cold(self) -> None:
+        self.expected_limit = COLD_LIMIT
+        self.successes = 0
 
     @rule(cold=st.booleans(), incarnation=st.integers(1, 2))
     def report(self, cold: bool, incarnation: int) -> None:
@@ -120,46 +120,48 @@
         restarted = self.incarnation not in (0, incarnation)
         self.cold, self.incarnation, self.reported_at = cold, incarnation, self.now
         if cold or restarted:
-            self.fall_back()
+            self.return_to_cold()
 
     @rule(old=st.booleans())
     def success(self, old: bool) -> None:
         self.limit.note_success(self.limit.epoch - old, self.now)
-        if old or self.expected == WARM_LIMIT:
+        if old or self.expected_limit == WARM_LIMIT:
             return
-        self.good += 1
+        self.successes += 1
         if self.cold or self.now - self.reported_at >= 3.0:
-            self.good = 0
-        elif self.good == self.expected:
-            self.good = 0
-            self.expected += 1
+            self.successes = 0
+        elif self.successes == self.expected_limit:
+            self.successes = 0
+            self.expected_limit += 1
 
     @rule()
     def overload(self) -> None:
         epoch = self.limit.epoch
         self.limit.reset_to_cold()
         assert self.limit.epoch > epoch
-        self.fall_back()
+        self.return_to_cold()
 
     @rule()
     def failure(self) -> None:
         self.limit.note_failure()
-        self.good = 0
+        self.successes = 0
 
     @invariant()
     def agrees(self) -> None:
-        assert self.limit.limit == self.expected
+        assert self.limit.limit == self.expected_limit
         states = {COLD_LIMIT: "cold", WARM_LIMIT: "warm"}
-        assert self.limit.state == ("cold" if self.cold else states.get(self.expected, "warming"))
+        assert self.limit.state == (
+            "cold" if self.cold else states.get(self.expected_limit, "warming")
+        )
         waited = self.now - self.started_at
         settled = waited >= 1.0 and self.incarnation != 0
         assert self.limit.is_open(self.now) == (waited >= 3.0 or settled)
 
 
 class InFlightMachine(ClockMachine):
-    """The oracle is an endpoint with own and earlier calls whose reports lag by less than 1 s."""
+    """The oracle is an endpoint with own and earlier calls whose reports lag by under 1 s."""
 
-    pace = 0.1
+    time_scale = 0.1
 
     def __init__(self) -> None:
         super().__init__()
@@ -195,15 +197,15 @@
 
     @rule()
     def quiet(self) -> None:
-        """A report of a quiet time tells the truth."""
+        """A report of a period without changes gives the exact number."""
         self.now += 1.1
         self.estimate.note_report(self.own + self.earlier, self.now, self.now)
         assert self.estimate.total == self.own + self.earlier
 
     @invariant()
-    def never_below_the_truth(self) -> None:
+    def never_below_the_actual_number(self) -> None:
         self.past.append((self.now, self.own + self.earlier))
-        # Earlier work without evidence may be forgotten, but only after a whole period.
+        # Earlier calls that no report shows may be removed, but only after a whole review period.
         if self.now < 100.0 + in_flight.REVIEW_PERIOD_SECONDS:
             assert self.estimate.total >= self.own + self.earlier
 
@@ -227,22 +229,24 @@
             self.assertFalse(self.limit.note_first_token(0.2, 0, 1.0))
         self.limit.raw_limit = WARM_LIMIT
 
-    def test_a_first_token_above_four_times_the_mean_is_a_sign_of_cold(self) -> None:
+    def test_first_token_above_four_times_the_mean_returns_to_cold(self) -> None:
         self.assertFalse(self.limit.note_first_token(0.79, 0, 1.0))
         self.assertEqual(WARM_LIMIT, self.limit.limit)
         self.assertTrue(self.limit.note_first_token(1.1, 0, 1.0))
         self.assertEqual((COLD_LIMIT, 1), (self.limit.limit, self.limit.epoch))
 
-    def test_lastingly_longer_prompts_are_learned(self) -> None:
-        signs = [self.limit.note_first_token(1.5, self.limit.epoch, 1.0) for _ in range(40)]
-        self.assertTrue(signs[0])
-        self.assertFalse(any(signs[-20:]))
+    def test_permanently_longer_prompts_raise_the_mean(self) -> None:
+        returned_to_cold = [
+            self.limit.note_first_token(1.5, self.limit.epoch, 1.0) for _ in range(40)
+        ]
+        self.assertTrue(returned_to_cold[0])
+        self.assertFalse(any(returned_to_cold[-20:]))
 
-    def test_only_reports_without_a_gap_or_a_cold_one_make_a_false_alarm(self) -> None:
-        fine = [(0.5, False), (1.0, False), (1.5, False), (2.0, False)]
+    def test_false_alarm_requires_reports_without_gap_and_none_cold(self) -> None:
+        not_cold = [(0.5, False), (1.0, False), (1.5, False), (2.0, False)]
         for reports, tolerated in (
-            ([*fine, (2.5, False)], 1.25 * 0.9),
-            (fine, 0.0),
+            ([*not_cold, (2.5, False)], 1.25 * 0.9),
+            (not_cold, 0.0),
             ([(0.5, False), (2.5, False)], 0.0),
             ([(0.5, False), (1.0, True), (1.5, False), (2.5, False)], 0.0),
         ):
@@ -254,8 +258,8 @@
             self.assertEqual(tolerated, times.tolerated_seconds)
 
 
-class SmallTablesTest(unittest.TestCase):
-    def test_forgets_earlier_work_without_evidence_or_reports(self) -> None:
+class EarlierCallsTest(unittest.TestCase):
+    def test_removes_earlier_calls_that_no_report_shows(self) -> None:
         estimate = in_flight.InFlightEstimate(1.0, 0.0)
         for number in range(200):
             now = number * 0.5
--- a/tests/unit/test_fair_queue_model.py
+++ b/tests/unit/test_fair_queue_model.py
@@ -1,4 +1,7 @@
-"""Guards against virtual times that drift from what was rendered, also across dispatchers."""
+"""Guards against virtual times that drift from the service provided, also across dispatchers.
+
+Drives the fair queue and a reference model with the same random events and compares their states.
+"""
 
 import copy
 import unittest
@@ -14,12 +17,12 @@
 MAXIMUM_COST = 50.0
 DEBT_CAP = 40.0
 AGENTS = ("agent-1", "agent-2")
-FAR = 1e9
+DISTANT_LIFETIME_SECONDS = 1e9
 COSTS = strategies.integers(0, 120).map(float)
 SMALL_COSTS = strategies.integers(1, 8).map(float)
 HINT_FACTORS = strategies.sampled_from([1.0, 1.0, 1.0, 0.1, 10.0])
 INDEXES = strategies.integers(0, 1000)
-ENDS = strategies.booleans()
+BOOLEANS = strategies.booleans()
 
 
 def pick(items: dict[str, object], index: int) -> str:
@@ -28,7 +31,7 @@
 
 
 class FairQueueMachine(stateful.RuleBasedStateMachine):
-    """Drives a fair queue and the oracle with the same events."""
+    """Applies the same events to a fair queue and to the oracle."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,7 +39,7 @@
         self.queue = self.new_queue()
         self.sequence = 0
         self.now = 1.0
-        # What each agent has rendered: incarnation and totals by team.
+        # Service provided by each agent: incarnation and totals by team in cost units.
         self.agents: dict[str, tuple[int, dict[str, float]]] = {name: (1, {}) for name in AGENTS}
         # Agent, team and cost so far by running ticket.
         self.running: dict[str, tuple[str, str, float]] = {}
@@ -44,10 +47,10 @@
         self.tickets: dict[str, object] = {}
 
     def new_queue(self) -> fair_queue.FairQueue:
-        terms = ledger.FairShareParameters(
+        parameters = ledger.FairShareParameters(
             shares=SHARES, maximum_cost=MAXIMUM_COST, debt_cap=DEBT_CAP
         )
-        times = ledger.VirtualTimeLedger(terms)
+        times = ledger.VirtualTimeLedger(parameters)
         return fair_queue.FairQueue(fair_queue.FairSharePolicy(times), times)
 
     def enqueue(self, team: str, hint: float, retried: bool, lifetime: float) -> None:
@@ -70,7 +73,7 @@
         team=strategies.sampled_from(TEAMS),
         hint=COSTS,
         retried=strategies.booleans(),
-        lifetime=strategies.sampled_from([5.0, FAR]),
+        lifetime=strategies.sampled_from([5.0, DISTANT_LIFETIME_SECONDS]),
     )
     def add(self, team: str, hint: float, retried: bool, lifetime: float) -> None:
         self.now += 1.0
@@ -79,8 +82,8 @@
     @stateful.initialize(teams=strategies.permutations(TEAMS))
     def start_backlogged(self, teams: list[str]) -> None:
         for team in teams:
-            self.enqueue(team, 20.0, False, FAR)
-            self.enqueue(team, 1.0, False, FAR)
+            self.enqueue(team, 20.0, False, DISTANT_LIFETIME_SECONDS)
+            self.enqueue(team, 1.0, False, DISTANT_LIFETIME_SECONDS)
 
     @stateful.precondition(lambda self: self.queue.waiting)
     @stateful.rule(index=INDEXES)
@@ -111,16 +114,16 @@
             assert not state.waiting
             return
         team = taken.ticket.team
-        least = min(state.effective(ticket.team) for ticket in state.waiting.values())
-        assert abs(state.effective(team) - least) < 1e-6
+        lowest = min(state.effective(ticket.team) for ticket in state.waiting.values())
+        assert abs(state.effective(team) - lowest) < 1e-6
         first = min(item.order for item in state.waiting.values() if item.team == team)
         assert state.waiting[taken.ticket.id].order == first
         self.running[taken.ticket.id] = (agent, team, 0.0)
         self.oracle.append("take", taken.ticket.id)
 
     @stateful.precondition(lambda self: self.running)
-    @stateful.rule(index=INDEXES, cost=COSTS, reported=strategies.booleans(), ends=ENDS)
-    def render(self, index: int, cost: float, reported: bool, ends: bool) -> None:
+    @stateful.rule(index=INDEXES, cost=COSTS, reported=strategies.booleans(), ends=BOOLEANS)
+    def record_cost(self, index: int, cost: float, reported: bool, ends: bool) -> None:
         ticket_id = pick(self.running, index)
         agent, team, before = self.running[ticket_id]
         totals = self.agents[agent][1]
@@ -129,7 +132,7 @@
         if reported:
             self.report(agent, ends)
 
-    @stateful.rule(agent=strategies.sampled_from(AGENTS), ends=ENDS)
+    @stateful.rule(agent=strategies.sampled_from(AGENTS), ends=BOOLEANS)
     def report(self, agent: str, ends: bool) -> None:
         progress = {key: cost for key, (owner, _, cost) in self.running.items() if owner == agent}
         finished = progress if ends else {}
@@ -148,18 +151,18 @@
             max_size=8,
         ),
     )
-    def serve_to_the_end(self, agent: str, calls: list[tuple[str, float, float]]) -> None:
-        """Calls end one after the other, so that later hints meet means of earlier costs."""
+    def serve_in_sequence(self, agent: str, calls: list[tuple[str, float, float]]) -> None:
+        """Run calls one after the other, so that hints are compared with means of earlier costs."""
         for team, cost, factor in calls:
-            self.add(team, cost * factor, True, FAR)
+            self.add(team, cost * factor, True, DISTANT_LIFETIME_SECONDS)
             self.take(agent, 1)
             self.agrees_with_the_oracle()
-            self.render(len(self.running) - 1, cost, False, False)
+            self.record_cost(len(self.running) - 1, cost, False, False)
             self.report(agent, True)
 
     @stateful.rule(agent=strategies.sampled_from(AGENTS))
     def late_report(self, agent: str) -> None:
-        """A report of an earlier incarnation or with lower totals changes nothing."""
+        """Apply reports of an earlier incarnation and with lower totals, which change nothing."""
         incarnation, totals = self.agents[agent]
         known = self.queue.ledger.counters.get(agent)
         if known is not None and known.incarnation == incarnation:
@@ -179,7 +182,7 @@
 
     @stateful.rule(agent=strategies.sampled_from(AGENTS))
     def restart_agent(self, agent: str) -> None:
-        """An agent restarts without memory; its session's reservations end."""
+        """Restart an agent without its counters; the reservations of its session end."""
         incarnation, _ = self.agents[agent]
         self.agents[agent] = (incarnation + 1, {})
         for ticket_id in [key for key, item in self.running.items() if item[0] == agent]:
@@ -199,7 +202,7 @@
         older=strategies.booleans(),
     )
     def replace_dispatcher(self, teams: list[str], report_first: bool, older: bool) -> None:
-        """A new dispatcher gets the stored snapshot, all counters and then tickets."""
+        """Start a new dispatcher with the stored snapshot, all counters and then tickets."""
         index, snapshot = self.stored
         self.queue = self.new_queue()
         if not report_first:
@@ -217,7 +220,7 @@
         self.stored = None
         self.now += 1.0
         for team in teams:
-            self.enqueue(team, 10.0, False, FAR)
+            self.enqueue(team, 10.0, False, DISTANT_LIFETIME_SECONDS)
 
     @stateful.invariant()
     def agrees_with_the_oracle(self) -> None:
@@ -227,8 +230,8 @@
         assert set(self.queue.waiting) == set(state.waiting)
         for team in state.active():
             assert abs(times.effective_of(team) - state.effective(team)) < 1e-6, team
-        assert abs(times.system_time - state.system()) < 1e-6
-        assert abs(times.included_total - state.total) < 1e-6
+        assert abs(times.system_time - state.system_virtual_time()) < 1e-6
+        assert abs(times.included_total - state.included_total) < 1e-6
 
 
 FairQueueMachine.TestCase.settings = hypothesis.settings(
--- a/tests/unit/test_fairness_bounds.py
+++ b/tests/unit/test_fairness_bounds.py
@@ -1,4 +1,7 @@
-"""Guards against gaps beyond the bound of section 6.1 and against starved teams."""
+"""Guards against service gaps above the bound of section 6.1 of the design and starved teams.
+
+A gap is the difference of two teams' service divided by share over some interval.
+"""
 
 import itertools
 import unittest
@@ -15,7 +18,7 @@
             self.assertLessEqual(gap, pool.bound, (first, second))
 
     def test_hints_ten_times_off_both_ways_with_mixed_lengths(self) -> None:
-        """Fails if wrong hints shift service between teams for good."""
+        """Fails if wrong hints shift service between teams permanently."""
         pool = shared_pool.SharedPool(
             [
                 shared_pool.Team("low", 1.0, (1.0, 40.0), hint_factor=0.1),
@@ -28,7 +31,7 @@
         pool.run(6000)
         self.assert_gaps_bounded(pool)
 
-    def test_hints_ten_times_off_below_a_far_maximum_cost(self) -> None:
+    def test_hints_ten_times_off_far_below_the_maximum_cost(self) -> None:
         """Fails if a wrong hint is reserved in full up to the declared maximum cost."""
         for costs in ((10.0,), (1.0, 1.0, 1.0, 100.0)):
             with self.subTest(costs=costs):
@@ -45,8 +48,8 @@
                 pool.run(6000)
                 self.assert_gaps_bounded(pool)
 
-    def test_hints_that_turn_ten_times_too_high(self) -> None:
-        """Fails if hints count without a limit until their correction has adapted."""
+    def test_hints_that_become_ten_times_too_high(self) -> None:
+        """Fails if hints are not limited until their correction has adapted."""
         teams = [shared_pool.Team("turning"), shared_pool.Team("exact")]
         pool = shared_pool.SharedPool(teams, slots=8, maximum_cost=1000.0, debt_cap=8000.0)
         pool.run(1000)
@@ -55,7 +58,7 @@
         self.assert_gaps_bounded(pool)
 
     def test_first_come_first_served_breaks_the_bound(self) -> None:
-        """Shows that the bound can fail: the baseline follows the number of requests."""
+        """Shows that the bound can be exceeded: the baseline serves teams by number of requests."""
         teams = [shared_pool.Team("few", backlog=4), shared_pool.Team("many", backlog=100)]
         policy = settings.QueuePolicyName.FIRST_COME_FIRST_SERVED
         baseline = shared_pool.SharedPool(teams, 4, policy)
@@ -66,7 +69,7 @@
         self.assert_gaps_bounded(fair)
 
     def test_idle_time_gives_no_credit(self) -> None:
-        """Fails if a team that returns is paid for the time it was idle."""
+        """Fails if a team is compensated for the time it was idle."""
         teams = [shared_pool.Team(name, backlog=8) for name in ("steady", "returning")]
         pool = shared_pool.SharedPool(teams, slots=4)
         pool.run(50)
@@ -74,8 +77,8 @@
         pool.run(500)
         self.assert_gaps_bounded(pool, since=2050)
 
-    def test_team_that_always_runs_a_little_collects_no_credit(self) -> None:
-        """Fails if a team that never waits holds down the time to which others are lifted."""
+    def test_team_with_few_running_requests_accumulates_no_credit(self) -> None:
+        """Fails if a team that never queues lowers the time to which others are raised."""
         teams = [
             shared_pool.Team("thin", costs=(40.0,)),
             shared_pool.Team("steady", costs=(10.0, 40.0), backlog=16),
@@ -83,7 +86,7 @@
         ]
         pool = shared_pool.SharedPool(teams, slots=8, debt_cap=10 * 8 * 40.0)
         for step in range(8000):
-            # Two requests of 40 steps, one half done when the other begins.
+            # Two requests of 40 steps each; one is half done when the other starts.
             pool.teams["thin"].backlog = 1 if step % 20 == 0 else 0
             pool.step(frozenset(pool.teams) - ({"late"} if step < 4000 else set()))
         pool.teams["thin"].backlog = 16
@@ -103,47 +106,49 @@
 
 
 class HintTest(unittest.TestCase):
-    def reserved(self, costs: list[float], factor: float, hint: float) -> float:
+    def estimate(self, costs: list[float], factor: float, hint: float) -> float:
         """Return the estimate for a hint after requests with these costs have finished."""
-        terms = ledger.FairShareParameters(shares={}, maximum_cost=1000.0, debt_cap=1000.0)
-        times = ledger.VirtualTimeLedger(terms)
+        parameters = ledger.FairShareParameters(shares={}, maximum_cost=1000.0, debt_cap=1000.0)
+        virtual_times = ledger.VirtualTimeLedger(parameters)
         for cost in costs:
-            times.observe_cost("team", cost, cost * factor)
-        return times.estimate("team", hint)
+            virtual_times.observe_cost("team", cost, cost * factor)
+        return virtual_times.estimate("team", hint)
 
-    def test_first_hint_counts_in_full(self) -> None:
+    def test_first_hint_is_reserved_in_full(self) -> None:
         """Fails if a team without a mean cost is charged nothing for its first requests."""
-        self.assertEqual(self.reserved([], 1.0, 400.0), 400.0)
+        self.assertEqual(self.estimate([], 1.0, 400.0), 400.0)
 
     def test_single_wrong_hint_is_limited(self) -> None:
         """Fails if one hint ten times too high is reserved in full."""
         # The root mean square of the recent costs is close to 10.
-        self.assertAlmostEqual(self.reserved([9.0, 11.0] * 20, 1.0, 100.0), 30.0, delta=1.0)
+        self.assertAlmostEqual(self.estimate([9.0, 11.0] * 20, 1.0, 100.0), 30.0, delta=1.0)
 
     def test_constant_error_is_corrected(self) -> None:
-        """Fails if a team whose hints are always wrong by one factor is charged that factor."""
+        """Fails if a constant factor in a team's hints also scales its reservations."""
         for factor in (0.1, 10.0):
             with self.subTest(factor=factor):
-                reserved = self.reserved([5.0, 45.0] * 20, factor, 50.0 * factor)
-                self.assertAlmostEqual(reserved, 50.0)
+                estimate = self.estimate([5.0, 45.0] * 20, factor, 50.0 * factor)
+                self.assertAlmostEqual(estimate, 50.0)
 
-    def test_hints_worse_than_the_mean_do_not_count(self) -> None:
-        """Fails if random hints order teams whose mean cost foretells their requests better."""
-        times = ledger.VirtualTimeLedger(
+    def test_hints_worse_than_the_mean_are_ignored(self) -> None:
+        """Fails if random hints are used although the mean cost predicts requests better."""
+        virtual_times = ledger.VirtualTimeLedger(
             ledger.FairShareParameters(shares={}, maximum_cost=1000.0, debt_cap=1000.0)
         )
         for number in range(30):
-            times.observe_cost("team", 9.0 + number % 3, 10.0 * (0.1, 1.0, 10.0)[number % 3])
-        self.assertAlmostEqual(times.estimate("team", 100.0), 10.0, delta=1.0)
+            virtual_times.observe_cost(
+                "team", 9.0 + number % 3, 10.0 * (0.1, 1.0, 10.0)[number % 3]
+            )
+        self.assertAlmostEqual(virtual_times.estimate("team", 100.0), 10.0, delta=1.0)
 
     def test_low_hint_does_not_undercut_the_mean(self) -> None:
-        """Fails if a team gains by hints below its costs."""
-        self.assertAlmostEqual(self.reserved([20.0] * 5, 1.0, 1.0), 20.0)
+        """Fails if a team benefits from hints below its costs."""
+        self.assertAlmostEqual(self.estimate([20.0] * 5, 1.0, 1.0), 20.0)
 
 
 class StarvationTest(unittest.TestCase):
     def test_share_one_beside_share_one_thousand(self) -> None:
-        """Fails if the small team waits longer than its share explains."""
+        """Fails if the small team waits longer than its share implies."""
         teams = [shared_pool.Team("small", 1.0), shared_pool.Team("large", 1000.0, backlog=20)]
         pool = shared_pool.SharedPool(teams, slots=4)
         starts = []
@@ -153,25 +158,25 @@
             if pool.starts["small"] > before:
                 starts.append(pool.served["large"])
         self.assertGreaterEqual(len(starts), 3)
-        bound = 10.0 * 1000.0 + pool.slots * pool.largest
+        bound = 10.0 * 1000.0 + pool.slots * pool.maximum_request_cost
         for earlier, later in itertools.pairwise(starts):
             self.assertLessEqual(later - earlier, bound)
 
-    def test_hundred_times_the_requests_gain_nothing(self) -> None:
-        """Fails if a team gets more service by queueing more."""
+    def test_hundred_times_the_requests_give_no_more_service(self) -> None:
+        """Fails if a team gets more service by queueing more requests."""
         teams = [shared_pool.Team("few", backlog=4), shared_pool.Team("many", backlog=400)]
         pool = shared_pool.SharedPool(teams, slots=4)
         pool.run(2000)
         self.assertLessEqual(pool.largest_gap("few", "many"), pool.bound)
 
     def test_debt_of_a_second_dispatcher_is_capped(self) -> None:
-        """Fails if a team must repay all that a second dispatcher gave it."""
+        """Fails if a team is charged for all service through a second dispatcher."""
         teams = [shared_pool.Team(name) for name in ("debtor", "other")]
         pool = shared_pool.SharedPool(teams, slots=4, debt_cap=200.0)
         pool.run(100)
         pool.queue.apply_report("agent-2", 1, {"debtor": 1_000_000.0}, {}, {})
         served, starts = pool.served["other"], pool.starts["debtor"]
-        bound = 200.0 + 2 * pool.slots * pool.largest
+        bound = 200.0 + 2 * pool.slots * pool.maximum_request_cost
         while pool.starts["debtor"] == starts and pool.served["other"] - served <= 2 * bound:
             pool.run(1)
         self.assertLessEqual(pool.served["other"] - served, bound)
