--- a/src/masticward/state/admission.py
+++ b/src/masticward/state/admission.py
@@ -4,7 +4,7 @@
 
 from masticward.state import first_token
 
-# Without a load report, an agent that has just started admits calls after this time.
+# Time after its start from which an agent admits calls even without a load report.
 FIRST_REPORT_WAIT_SECONDS = 3.0
 # Age of the latest load report from which successful calls no longer raise the limit.
 REPORT_TIMEOUT_SECONDS = 3.0
@@ -47,7 +47,8 @@
         self.warm_limit = max(1, warm_limit)
         self.cold_limit = min(max(1, cold_limit), self.warm_limit)
         self.started_at = started_at
-        # A lagging report may not include calls that a previous agent started just before it ended.
+        # No call is admitted for this long after the start: a lagging report may not include calls
+        # that a previous agent started just before it ended.
         self.report_lag_seconds = report_lag_seconds
         self.raw_limit = self.cold_limit
         self.limit_hint = 0
@@ -77,7 +78,11 @@
         return AdmissionState.COLD
 
     def is_open(self, now: float) -> bool:
-        """Return whether calls may be admitted: a load report has arrived or did not in time."""
+        """Return whether calls may be admitted.
+
+        This is the case once a load report has arrived and the report lag has passed since the
+        start, or ``FIRST_REPORT_WAIT_SECONDS`` after the start.
+        """
         if now >= self.started_at + FIRST_REPORT_WAIT_SECONDS:
             return True
         settled = now >= self.started_at + self.report_lag_seconds
--- a/src/masticward/state/fair_queue.py
+++ b/src/masticward/state/fair_queue.py
@@ -121,7 +121,7 @@
         return ticket.entry_id
 
     def rank_of(self, group: str) -> float:
-        """Return the number of tickets served, raised when the entry was idle."""
+        """Return the number of tickets served, as raised after idle times of the entry."""
         return self.served.get(group, 0.0)
 
     def note_group_added(self, group: str, lowest_rank: float | None) -> None:
