--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -3,13 +3,13 @@
 from masticward import events, logs
 from masticward.models import gateway
 from masticward.state import (
-    cold_pace,
+    cold_start,
     endpoint_health,
     endpoint_table,
-    load_board,
+    load_table,
     placement,
     prompt_cache,
-    repeats,
+    retry_window,
     team_usage,
 )
 from masticward.utils import clocks
@@ -19,7 +19,7 @@
 LOGGER = logs.get_logger(__name__)
 
 
-class Fleet:
+class FleetState:
     """The beliefs of one process. Times are seconds of ``clocks.boot_time``."""
 
     def __init__(self, settings: gateway.GatewaySettings) -> None:
@@ -29,17 +29,17 @@
         # The configuration in force was the newest at this moment, as the store said.
         self.configuration_proven_at = 0.0
         # The newest version that a peer has; its content comes from the store.
-        self.newest_version_told = 0
+        self.newest_peer_version = 0
         self.endpoints_known = False
         self.table = endpoint_table.EndpointTable()
-        self.loads = load_board.LoadBoard()
-        self.caches = prompt_cache.CacheMap()
-        self.health = endpoint_health.HealthBook()
+        self.loads = load_table.LoadTable()
+        self.caches = prompt_cache.PromptCaches()
+        self.health = endpoint_health.HealthTracker()
         # Tokens of the requests that began, and of all that arrived.
         self.usage = team_usage.TeamUsage()
-        self.asked = team_usage.TeamUsage()
-        self.pace = cold_pace.ColdPace()
-        self.budgets: dict[str, repeats.RepeatBudget] = {}
+        self.demand = team_usage.TeamUsage()
+        self.pace = cold_start.ColdStartLimiter()
+        self.budgets: dict[str, retry_window.WindowedRetryBudget] = {}
         self.view = placement.PlacementView(self.loads, self.caches, self.health)
         # Gateways that were heard lately, this one included.
         self.live_gateways: list[str] = [settings.instance_id]
@@ -47,15 +47,15 @@
         self.known_gateways = 1
         self.routes_by_host: dict[str, list[gateway.Route]] = {}
 
-    def take_settings(self, settings: gateway.GatewaySettings) -> None:
+    def apply_settings(self, settings: gateway.GatewaySettings) -> None:
         """Take over changed settings."""
         self.settings = settings
         for budget in self.budgets.values():
-            budget.ratio = settings.bounds.repeat_ratio
-            budget.slack = settings.bounds.repeat_slack
-            budget.window = settings.bounds.repeat_window_seconds
+            budget.ratio = settings.bounds.retry_ratio
+            budget.slack = settings.bounds.retry_slack
+            budget.window_seconds = settings.bounds.retry_window_seconds
 
-    def take_configuration(
+    def apply_configuration(
         self, configuration: gateway.FleetConfiguration, proven_at: float, source: str
     ) -> bool:
         """Put a configuration in force unless it is older; returns whether it changed."""
@@ -92,7 +92,7 @@
             routes = self.routes_by_host.get(host.partition(":")[0], [])
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
-    def keys_provable(self, now: float) -> bool:
+    def proof_is_fresh(self, now: float) -> bool:
         """Whether the known keys were valid recently enough to let a request run."""
         allowed_age = self.settings.bounds.revoke_seconds - REVOKE_MARGIN_SECONDS
         return now - self.configuration_proven_at < allowed_age
@@ -104,13 +104,13 @@
             return None
         return configuration.team_of_key.get(api_key)
 
-    def budget(self, service: str) -> repeats.RepeatBudget:
+    def budget(self, service: str) -> retry_window.WindowedRetryBudget:
         """Return the budget for repeated sends to a service."""
         found = self.budgets.get(service)
         if found is None:
             bounds = self.settings.bounds
-            found = self.budgets[service] = repeats.RepeatBudget(
-                bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_seconds
+            found = self.budgets[service] = retry_window.WindowedRetryBudget(
+                bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_seconds
             )
         return found
 
@@ -122,10 +122,10 @@
         for change in self.table.apply(found, complete, clocks.boot_time()):
             self.note_change(change)
 
-    def tick(self) -> None:
+    def drop_expired_endpoints(self) -> None:
         """Drop endpoints whose grace after an outage is over."""
         changes: list[endpoint_table.Change] = []
-        self.table.drop_missing(clocks.boot_time(), changes)
+        self.table.remove_expired(clocks.boot_time(), changes)
         for change in changes:
             self.note_change(change)
 
@@ -138,9 +138,9 @@
             detail=change.detail,
         )
         if change.state in ("added", "gone"):
-            self.caches.forget(change.endpoint_id)
-            self.health.forget(change.endpoint_id)
-            self.pace.forget(change.endpoint_id)
+            self.caches.remove(change.endpoint_id)
+            self.health.remove(change.endpoint_id)
+            self.pace.remove(change.endpoint_id)
 
     def apply_evacuations(self, found: list[tuple[str, bool]], complete: bool) -> None:
         """Take over the zones that operators have taken out."""
