--- a/src/masticward/daemons/gateway.py
+++ b/src/masticward/daemons/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway program: wires the parts together, reports readiness, stops without cutting."""
+"""The gateway process: start, readiness, settings reload and graceful stop."""
 
 import asyncio
 import collections.abc
@@ -24,21 +24,21 @@
 from masticward.transport import http1_server
 from masticward.utils import addresses, clocks, tasks
 
-# The balancer asks once a second and takes an instance out after two misses.
-LEAVE_ROTATION_SECONDS = 2.8
-# The platform kills this process at the end of the grace; it ends itself before.
+# The load balancer checks readiness once per second and removes an instance after two failures.
+ROTATION_EXIT_SECONDS = 2.8
+# The platform kills the process at the end of the grace period; the process exits before that.
 STOP_MARGIN_SECONDS = 0.6
-STOP_POLL_SECONDS = 0.05
-TICK_SECONDS = 0.25
-# The settings file may change without a signal.
-RELOAD_SECONDS = 2.0
-# A task that fails at once each time must not take the processor.
-TASK_RESTART_SECONDS = 0.2
+STOP_POLL_INTERVAL_SECONDS = 0.05
+TICK_INTERVAL_SECONDS = 0.25
+# The settings file is polled because it may change without a signal.
+RELOAD_INTERVAL_SECONDS = 2.0
+# Keeps a task that fails immediately on each start from using all CPU time.
+TASK_RESTART_DELAY_SECONDS = 0.2
 LOGGER = logs.get_logger(__name__)
 
 
-class Readiness(http1_server.RequestHandler):
-    """Answers the balancer and the collector of metrics."""
+class ReadinessHandler(http1_server.RequestHandler):
+    """Serves the load balancer's readiness checks and the metrics."""
 
     def __init__(self, program: "GatewayProgram") -> None:
         self.program = program
@@ -50,7 +50,7 @@
     async def handle(
         self, request: http1_server.Request, responder: http1_server.Responder
     ) -> None:
-        """Answer one request."""
+        """Serve metrics, or readiness as status 200 or 503."""
         if request.target.startswith(b"/metrics"):
             body = self.program.metrics.render()
             await responder.send(200, [(b"Content-Type", b"text/plain; version=0.0.4")], body)
@@ -59,7 +59,7 @@
 
 
 class GatewayProgram:
-    """One gateway process."""
+    """The components of one gateway process and its lifecycle."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
             addresses.split(settings.client_address), self.front
         )
         self.ready_server = http1_server.Server(
-            addresses.split(settings.ready_address), Readiness(self)
+            addresses.split(settings.ready_address), ReadinessHandler(self)
         )
         self.background = tasks.TaskGroup()
         self.lag = loop_lag.LoopLag()
@@ -101,7 +101,7 @@
         self.register_gauges()
 
     def register_gauges(self) -> None:
-        """Add the figures that are read when the metrics are collected."""
+        """Register the gauges that are evaluated when the metrics are collected."""
         fleet = self.fleet
         add = self.meters.add_gauge
         add(
@@ -168,22 +168,25 @@
         )
 
     def ready(self) -> bool:
-        """Whether the balancer should send new connections here."""
+        """Return whether the load balancer should send new connections here; log each change.
+
+        With unproven API keys, the process is unready only while a peer can verify keys.
+        """
         fleet = self.fleet
         ready = (
             not self.stopping
             and not self.lag.overloaded
             and fleet.configuration is not None
             and fleet.endpoints_known
-            and (fleet.keys_provable(clocks.boot_time()) or not self.peer_can_prove())
+            and (fleet.keys_provable(clocks.boot_time()) or not self.peer_has_recent_proof())
         )
         if ready != self.was_ready:
             self.was_ready = ready
             LOGGER.log(events.Event.READINESS_CHANGED, ready=ready, stopping=self.stopping)
         return ready
 
-    def peer_can_prove(self) -> bool:
-        """Whether another live gateway has a fresh proof of its configuration."""
+    def peer_has_recent_proof(self) -> bool:
+        """Return whether another live gateway has a recent proof of its configuration."""
         limit = self.settings.bounds.revoke_seconds - fleet_module.REVOKE_MARGIN_SECONDS
         return any(
             peer.live
@@ -194,17 +197,17 @@
         )
 
     def relist(self) -> None:
-        """List endpoints and evacuations again, whatever their watches wait for."""
+        """List endpoints and evacuations again, without waiting for their watches."""
         for kind in (sources.ObjectKind.ENDPOINTS, sources.ObjectKind.EVACUATIONS):
             self.followers[kind].list_again.set()
         self.snapshots.listing_differs = True
 
     def send_proof(self) -> None:
-        """Tell the peers of a new proof at once, so that they need none of their own."""
+        """Send a new proof to the peers at once, so that they need not fetch their own."""
         self.peering.send_round()
 
     async def start(self) -> None:
-        """Open the ports and start the background tasks."""
+        """Open the listeners and start the background tasks."""
         await self.ready_server.start()
         await self.client_server.start()
         await self.snapshot_server.start()
@@ -231,23 +234,23 @@
         run: collections.abc.Callable[[], collections.abc.Coroutine[typing.Any, typing.Any, None]],
         name: str,
     ) -> None:
-        """Run a background task and start it again if it fails."""
+        """Run a background task and restart it whenever it ends."""
 
-        async def keep_running() -> None:
+        async def restart_forever() -> None:
             while True:
                 try:
                     await run()
                 except Exception as error:
                     LOGGER.log(events.Event.TASK_FAILED, task=name, error=repr(error))
-                await asyncio.sleep(TASK_RESTART_SECONDS)
+                await asyncio.sleep(TASK_RESTART_DELAY_SECONDS)
 
-        self.background.spawn(keep_running(), name)
+        self.background.spawn(restart_forever(), name)
 
     async def run_ticks(self) -> None:
-        """Drop what has expired, until cancelled."""
+        """Record the event loop lag and remove expired state, until cancelled."""
         while True:
-            due = clocks.boot_time() + TICK_SECONDS
-            await asyncio.sleep(TICK_SECONDS)
+            due = clocks.boot_time() + TICK_INTERVAL_SECONDS
+            await asyncio.sleep(TICK_INTERVAL_SECONDS)
             now = clocks.boot_time()
             if self.lag.record(now - due, now):
                 LOGGER.log(
@@ -260,45 +263,48 @@
             self.caller.pool.expire(set(self.fleet.table.endpoints))
 
     async def run_reloads(self) -> None:
-        """Read the settings again from time to time, until cancelled."""
+        """Reload the settings periodically, until cancelled."""
         while True:
-            await asyncio.sleep(RELOAD_SECONDS)
+            await asyncio.sleep(RELOAD_INTERVAL_SECONDS)
             self.reload()
 
     def reload(self) -> None:
-        """Take over changed settings; unreadable ones leave those in force as they are."""
+        """Apply changed settings; keep the current ones if the file is invalid."""
         try:
-            found = self.read_settings()
+            loaded = self.read_settings()
         except errors.SettingsError as error:
             if error.problems != self.settings_problems:
                 LOGGER.log(events.Event.SETTINGS_UNREADABLE, problems=error.problems)
             self.settings_problems = error.problems
             return
         self.settings_problems = []
-        if found == self.settings:
+        if loaded == self.settings:
             return
-        needs_restart = (found.client_address, found.ready_address, found.peer_port) != (
+        needs_restart = (loaded.client_address, loaded.ready_address, loaded.peer_port) != (
             self.settings.client_address,
             self.settings.ready_address,
             self.settings.peer_port,
         )
-        self.settings = found
-        self.fleet.take_settings(found)
-        self.peering.take_settings(found)
+        self.settings = loaded
+        self.fleet.take_settings(loaded)
+        self.peering.take_settings(loaded)
         LOGGER.log(events.Event.SETTINGS_RELOADED, needs_restart=needs_restart)
 
     async def stop(self) -> None:
-        """Leave the balancer's rotation, finish requests at hand, then end."""
+        """Leave the load balancer's rotation, finish open requests, then stop.
+
+        Requests still open shortly before the end of the grace period are aborted.
+        """
         started = clocks.boot_time()
-        end_at = started + self.settings.bounds.stop_grace_seconds - STOP_MARGIN_SECONDS
+        abort_at = started + self.settings.bounds.stop_grace_seconds - STOP_MARGIN_SECONDS
         LOGGER.log(events.Event.PROCESS_STOPPING, instance=self.settings.instance_id)
         self.stopping = True
         self.peering.stopping = True
         self.client_server.stopping = True
-        await asyncio.sleep(LEAVE_ROTATION_SECONDS)
+        await asyncio.sleep(ROTATION_EXIT_SECONDS)
         self.client_server.stop_listening()
-        while self.client_server.busy and clocks.boot_time() < end_at:
-            await asyncio.sleep(STOP_POLL_SECONDS)
+        while self.client_server.busy and clocks.boot_time() < abort_at:
+            await asyncio.sleep(STOP_POLL_INTERVAL_SECONDS)
         cut = self.client_server.busy
         self.client_server.abort()
         await self.background.cancel()
@@ -306,12 +312,12 @@
 
 
 async def run_until_signal(program: GatewayProgram) -> int:
-    """Run a program until SIGTERM or SIGINT; returns its exit code."""
+    """Run a program until SIGTERM or SIGINT; return its exit code."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    # Without a handler this signal ends the process.
+    # The default action of SIGHUP would end the process.
     loop.add_signal_handler(signal.SIGHUP, program.reload)
     await program.start()
     await stop.wait()
--- a/src/masticward/models/gateway.py
+++ b/src/masticward/models/gateway.py
@@ -1,6 +1,6 @@
-"""What the gateway knows of routes, services, endpoints and requests.
+"""Data types of the gateway: routes, services, endpoints, requests and settings.
 
-Deadlines and moments are seconds of ``clocks.boot_time`` unless a field says otherwise.
+Deadlines and points in time are in seconds of ``clocks.boot_time`` unless a field says otherwise.
 """
 
 import enum
@@ -9,7 +9,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request of a route."""
+    """Whether a route's requests may be retried, and whether they are streamed."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -17,14 +17,14 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """A part of a route's requests that goes to one service."""
+    """The weight of one service in a route's traffic split."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of one host and path prefix."""
+    """A route, matched by host and path prefix."""
 
     name: str
     host: str
@@ -39,19 +39,19 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """The declared capacity of a model engine."""
+    """The declared capacity of a model engine: concurrent requests and cached tokens."""
 
     slots: int
     cache_tokens: int
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """A pool of like endpoints."""
+    """A pool of interchangeable endpoints."""
 
     name: str
     max_connections: int
@@ -61,7 +61,7 @@
 
 
 class ClientLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a client may send, and how long it may take."""
+    """Limits on the size and duration of a client's requests."""
 
     head_bytes: int = 16384
     body_bytes: int = 4194304
@@ -70,7 +70,7 @@
 
 
 class FleetConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted configuration. ``team_of_key`` is None where requests carry no keys."""
+    """An accepted configuration. ``team_of_key`` is None if requests carry no API keys."""
 
     version: int
     routes: tuple[Route, ...]
@@ -80,7 +80,7 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, kw_only=True):
-    """One incarnation of an endpoint as the platform lists it."""
+    """One incarnation of an endpoint, as listed by the platform."""
 
     id: str
     service: str
@@ -93,14 +93,14 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A part of a prompt that requests may share."""
+    """A part of a prompt. Requests with the same leading parts share a prefix."""
 
     id: str
     tokens: int
 
 
 class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What a client's request says of itself. ``forwarded`` holds the headers to pass on."""
+    """Metadata of a client's request. ``forwarded`` has the headers to send to the endpoint."""
 
     request_id: str
     method: bytes
@@ -118,7 +118,12 @@
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What the head of an endpoint's answer says besides its status."""
+    """Metadata from the headers of an endpoint's response.
+
+    ``proven`` is set if the response carries its proof, ``not_run`` if it did not execute the
+    request, ``encoded`` if the body has a content encoding, and ``closes`` if the connection ends
+    after the response. ``running`` and ``waiting`` count requests at the endpoint.
+    """
 
     request_id: str | None
     proven: bool
@@ -131,7 +136,7 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits that hold for the fleet as a whole."""
+    """Limits that apply to the fleet as a whole."""
 
     revoke_seconds: float
     stop_grace_seconds: float
--- a/src/masticward/platform/__init__.py
+++ b/src/masticward/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: names, formats and calls. It decides nothing.
+"""Adapter to the deployment platform: names, formats and store calls. It has no policy.
 
-No module outside this package knows the platform's names.
+No module outside this package uses the platform's names.
 """
--- a/src/masticward/platform/documents.py
+++ b/src/masticward/platform/documents.py
@@ -1,4 +1,7 @@
-"""Decodes the objects of the platform's store into the gateway's types."""
+"""Decoding of the platform's stored objects into the gateway's types.
+
+The struct fields have the names of the stored documents.
+"""
 
 import typing
 
@@ -18,26 +21,26 @@
 
 
 class ServerEntry(msgspec.Struct):
-    """What an endpoint says of itself."""
+    """An endpoint's registration."""
 
     service: str
     address: str
     zone: str
     state: str
     slots: int = 1
-    born: int = 0  # Unix milliseconds of its start; grows with each incarnation
+    born: int = 0  # start time in Unix milliseconds; grows with each incarnation
     cold_remaining_ms: float = 0.0
 
 
 class SplitEntry(msgspec.Struct):
-    """A weighted part of a route."""
+    """One service in a route's weighted traffic split."""
 
     service: str
     weight: float
 
 
 class RouteEntry(msgspec.Struct):
-    """A route."""
+    """A route of the configuration."""
 
     name: str
     host: str
@@ -53,14 +56,14 @@
 
 
 class EngineEntry(msgspec.Struct):
-    """The engine of a service."""
+    """The engine capacity of a service."""
 
     slots: int
     kv_capacity_tokens: int
 
 
 class ServiceEntry(msgspec.Struct):
-    """A service."""
+    """A service of the configuration."""
 
     name: str
     max_connections: int = 100
@@ -70,7 +73,7 @@
 
 
 class LimitsEntry(msgspec.Struct):
-    """What clients may send."""
+    """Limits on client requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -79,14 +82,14 @@
 
 
 class TenantEntry(msgspec.Struct):
-    """A team with its keys."""
+    """A team with its API keys."""
 
     name: str
     api_keys: list[str] = []
 
 
 class ConfigurationEntry(msgspec.Struct):
-    """The whole configuration."""
+    """The complete configuration."""
 
     version: int
     routes: list[RouteEntry]
@@ -96,7 +99,7 @@
 
 
 def decode_endpoint(name: str, spec: typing.Any, status: typing.Any) -> gateway.Endpoint | None:
-    """Return an endpoint; None if the object names no endpoint that can be used."""
+    """Return an endpoint; None if the object does not describe a usable endpoint."""
     document = spec if isinstance(spec, dict) and spec else status
     try:
         entry = msgspec.convert(document, ServerEntry)
@@ -120,7 +123,7 @@
 
 
 def decode_route(entry: RouteEntry) -> gateway.Route:
-    """Return a route; raises ConfigurationError for a kind that is not known."""
+    """Return a route; raise ConfigurationError for an unknown kind."""
     kind = KINDS.get(entry.kind)
     if kind is None:
         raise errors.ConfigurationError([f"route {entry.name}: unknown kind {entry.kind!r}"])
@@ -142,7 +145,7 @@
 
 
 def decode_configuration(spec: typing.Any) -> gateway.FleetConfiguration:
-    """Return a configuration; raises ConfigurationError with the path of the wrong field."""
+    """Return a configuration; raise ConfigurationError with the path of an invalid field."""
     try:
         entry = msgspec.convert(spec, ConfigurationEntry)
     except msgspec.ValidationError as error:
@@ -177,7 +180,10 @@
 
 
 def decode_object(kind: sources.ObjectKind, name: str, document: typing.Any) -> typing.Any:
-    """Return the value of a stored object, None if it cannot be used."""
+    """Return the value of a stored object; None if it is not usable.
+
+    Raise ConfigurationError if the object is an invalid configuration.
+    """
     spec, status = document.get("spec"), document.get("status")
     if kind is sources.ObjectKind.ENDPOINTS:
         return decode_endpoint(name, spec, status)
--- a/src/masticward/platform/headers.py
+++ b/src/masticward/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translates headers of requests and answers."""
+"""Encoding and decoding of the platform's request and response headers."""
 
 import re
 import urllib.parse
@@ -11,18 +11,21 @@
 
 REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,200}\Z")
 KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(rb"(?:^|[ ,;])timeout=(\d+)", re.IGNORECASE)
-# A request without a deadline waits as long as the longest one on the users' sheets.
+# Deadline of a request that has none: the longest one that callers of the platform use.
 DEFAULT_DEADLINE_SECONDS = 10.0
 
 
-def first(headers: dict[bytes, bytes], name: bytes) -> str | None:
-    """Return a header's text, None if it is missing."""
+def header_text(headers: dict[bytes, bytes], name: bytes) -> str | None:
+    """Return a header's value without surrounding whitespace; None if it is missing."""
     value = headers.get(name)
     return None if value is None else value.decode("latin-1").strip()
 
 
-def parse_counts(text: str | None) -> tuple[int, int]:
-    """Return prompt tokens and most output tokens; zeros if the header is missing."""
+def parse_token_counts(text: str | None) -> tuple[int, int]:
+    """Return prompt tokens and maximum output tokens; zeros if the header is missing.
+
+    Raise BadRequestError if a count is not a number.
+    """
     if text is None:
         return 0, 0
     try:
@@ -32,8 +35,8 @@
         raise errors.BadRequestError(f"token counts {text[:60]!r} are not numbers") from error
 
 
-def parse_parts(text: str | None) -> tuple[gateway.PromptPart, ...]:
-    """Return the parts of a prompt."""
+def parse_prompt_parts(text: str | None) -> tuple[gateway.PromptPart, ...]:
+    """Return the parts of a prompt; raise BadRequestError if a part has no size."""
     if not text:
         return ()
     parts = []
@@ -46,8 +49,11 @@
     return tuple(parts)
 
 
-def parse_key(text: str | None) -> str | None:
-    """Return the API key of an authorization header."""
+def parse_api_key(text: str | None) -> str | None:
+    """Return the API key of an authorization header.
+
+    The key is None without a header and empty for a scheme other than bearer.
+    """
     if text is None:
         return None
     scheme, _, key = text.partition(" ")
@@ -55,7 +61,7 @@
 
 
 class HeaderCodec(sources.RequestCodec):
-    """The platform's header names."""
+    """Codec for the platform's headers."""
 
     def decode_request(
         self,
@@ -64,35 +70,35 @@
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
     ) -> gateway.RequestMetadata:
-        """Return what a request says of itself; raises BadRequestError."""
-        lowered = [(name.lower(), value) for name, value in headers]
-        by_name = dict(lowered)
+        """Return the metadata of a request; raise BadRequestError if it is invalid."""
+        lowercase = [(name.lower(), value) for name, value in headers]
+        by_name = dict(lowercase)
         request_id = by_name.get(names.REQUEST_ID)
         if request_id is None or not REQUEST_ID_PATTERN.match(request_id):
             raise errors.BadRequestError("the request id is missing or not printable")
         if names.TRANSFER_ENCODING in by_name and names.CONTENT_LENGTH in by_name:
             raise errors.BadRequestError("both content-length and transfer-encoding")
-        deadline_text = first(by_name, names.DEADLINE_MS)
-        remaining = DEFAULT_DEADLINE_SECONDS
+        deadline_text = header_text(by_name, names.DEADLINE_MS)
+        remaining_seconds = DEFAULT_DEADLINE_SECONDS
         if deadline_text is not None:
             try:
-                remaining = int(deadline_text) / clocks.MILLISECONDS_PER_SECOND
+                remaining_seconds = int(deadline_text) / clocks.MILLISECONDS_PER_SECOND
             except ValueError as error:
                 raise errors.BadRequestError("the deadline is not a whole number") from error
-        prompt_tokens, output_tokens = parse_counts(first(by_name, names.TOKEN_COUNTS))
-        dropped = (
+        prompt_tokens, output_tokens = parse_token_counts(header_text(by_name, names.TOKEN_COUNTS))
+        removed_names = (
             names.SYSTEM_HEADERS
             | names.CONNECTION_HEADERS
             | {names.AUTHORIZATION, names.DEADLINE_MS, names.LAST_EVENT_ID}
             | {
                 item.strip().lower()
-                for name, value in lowered
+                for name, value in lowercase
                 if name == names.CONNECTION
                 for item in value.split(b",")
             }
         )
-        # These identify the request; a Connection header cannot take them away.
-        dropped -= {names.REQUEST_ID, names.MODEL, names.TOKEN_COUNTS, names.PROMPT_PARTS}
+        # Endpoints identify a request by these; a client's Connection header must not remove them.
+        removed_names -= {names.REQUEST_ID, names.MODEL, names.TOKEN_COUNTS, names.PROMPT_PARTS}
         path = target.split(b"?", 1)[0].decode("latin-1")
         if not path.startswith("/"):
             path = urllib.parse.urlsplit(path).path
@@ -100,15 +106,15 @@
             request_id=request_id.decode("latin-1"),
             method=method,
             target=target,
-            host=(first(by_name, names.HOST) or "").lower(),
+            host=(header_text(by_name, names.HOST) or "").lower(),
             path=path,
-            deadline=arrived_at + remaining,
-            api_key=parse_key(first(by_name, names.AUTHORIZATION)),
+            deadline=arrived_at + remaining_seconds,
+            api_key=parse_api_key(header_text(by_name, names.AUTHORIZATION)),
             prompt_tokens=prompt_tokens,
             output_tokens=output_tokens,
-            parts=parse_parts(first(by_name, names.PROMPT_PARTS)),
-            last_event_id=first(by_name, names.LAST_EVENT_ID),
-            forwarded=tuple(item for item in headers if item[0].lower() not in dropped),
+            parts=parse_prompt_parts(header_text(by_name, names.PROMPT_PARTS)),
+            last_event_id=header_text(by_name, names.LAST_EVENT_ID),
+            forwarded=tuple(item for item in headers if item[0].lower() not in removed_names),
             arrived_at=arrived_at,
         )
 
@@ -136,13 +142,13 @@
     def decode_answer(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> gateway.ResponseMetadata:
-        """Return what the head of an endpoint's answer says."""
+        """Return the metadata of an endpoint's response."""
         by_name = {name.lower(): value for name, value in headers}
         timeout = KEEP_ALIVE_TIMEOUT_PATTERN.search(by_name.get(names.KEEP_ALIVE, b""))
-        running, waiting = parse_load(first(by_name, names.LOAD))
+        running, waiting = parse_load(header_text(by_name, names.LOAD))
         encoding = by_name.get(names.CONTENT_ENCODING, b"identity").lower()
         return gateway.ResponseMetadata(
-            request_id=first(by_name, names.REQUEST_ID),
+            request_id=header_text(by_name, names.REQUEST_ID),
             proven=names.PROOF in by_name,
             not_run=names.NOT_RUN in by_name or status == 421,
             encoded=encoding != b"identity",
@@ -153,13 +159,13 @@
         )
 
     def answer_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an endpoint's answer that a client gets."""
+        """Return the headers of an endpoint's response that are sent to the client."""
         return [item for item in headers if item[0].lower() not in names.CONNECTION_HEADERS]
 
     def refusal_headers(
         self, request_id: str | None, retry_after_seconds: float | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer of the gateway's own."""
+        """Return the headers of a response that the gateway generates itself."""
         headers: list[tuple[bytes, bytes]] = []
         if request_id is not None:
             headers.append((names.REQUEST_ID, request_id.encode("latin-1")))
@@ -169,7 +175,7 @@
 
 
 def parse_load(text: str | None) -> tuple[int | None, int | None]:
-    """Return running and waiting requests; None for each if the header cannot be read."""
+    """Return the numbers of running and waiting requests; both None if the header is invalid."""
     try:
         running, waiting, _ = (text or "").split(",")
         return int(running), int(waiting)
--- a/src/masticward/platform/names.py
+++ b/src/masticward/platform/names.py
@@ -1,14 +1,16 @@
-"""Header and field names of the platform, with what each one holds."""
+"""Header names, object kinds and states of the platform."""
 
-REQUEST_ID = b"x-masticward-request-id"  # of one client attempt; echoed in answers
-DEADLINE_MS = b"x-masticward-deadline-ms"  # remaining milliseconds, not a moment
+REQUEST_ID = b"x-masticward-request-id"  # identifies one client attempt; echoed in responses
+DEADLINE_MS = b"x-masticward-deadline-ms"  # remaining time, not a point in time
 MODEL = b"x-masticward-model"
-TOKEN_COUNTS = b"x-masticward-token-counts"  # prompt tokens, most output tokens
-PROMPT_PARTS = b"x-masticward-prefix-hash"  # ID:TOKENS of the whole prompt, not only of a prefix
+TOKEN_COUNTS = b"x-masticward-token-counts"  # prompt tokens, maximum output tokens
+PROMPT_PARTS = (
+    b"x-masticward-prefix-hash"  # ID:TOKENS of all parts of the prompt, not only of a prefix
+)
 LAST_EVENT_ID = b"last-event-id"
 AUTHORIZATION = b"authorization"
 TEAM = b"x-masticward-tenant"
-EXPECTED_ENDPOINT = b"x-masticward-expect-instance"  # an endpoint's id, not a machine's
+EXPECTED_ENDPOINT = b"x-masticward-expect-instance"  # an endpoint ID, not an instance ID
 PROOF = b"x-masticward-response-seal"
 NOT_RUN = b"x-masticward-not-executed"
 LOAD = b"x-masticward-server-load"  # running, waiting, slots
@@ -22,7 +24,7 @@
 
 BEARER_SCHEME = "bearer"
 
-# Headers that only the system sets; a client's are dropped.
+# Headers reserved to the gateway and its endpoints; they are removed from client requests.
 SYSTEM_HEADERS = frozenset(
     {
         TEAM,
@@ -41,7 +43,7 @@
         b"kv-fetch",
     }
 )
-# RFC 9110, section 7.6.1, and the older names in use.
+# Hop-by-hop headers: RFC 9110, section 7.6.1, and older names still in use.
 CONNECTION_HEADERS = frozenset(
     {
         CONNECTION,
--- a/src/masticward/platform/program.py
+++ b/src/masticward/platform/program.py
@@ -1,4 +1,4 @@
-"""The gateway as the platform starts it."""
+"""Entry point of the gateway on the platform."""
 
 import os
 import pathlib
@@ -15,20 +15,20 @@
 
 
 def main() -> int:
-    """Run the gateway with the platform's settings; returns the exit code."""
+    """Run the gateway with the platform's settings; return the exit code."""
     path = pathlib.Path(os.environ.get(SETTINGS_VARIABLE, "/etc/masticward/node.yaml"))
     logs.configure_gateway()
     try:
-        found = settings.load(path)
+        loaded = settings.load(path)
     except errors.SettingsError as error:
         LOGGER.log(events.Event.SETTINGS_UNREADABLE, path=str(path), problems=error.problems)
         return INVALID_SETTINGS_EXIT_CODE
-    logs.bind(process=found.instance_id)
+    logs.bind(process=loaded.instance_id)
 
     async def run() -> int:
-        source = store.Store(found.store_address)
+        source = store.Store(loaded.store_address)
         program = gateway_daemon.GatewayProgram(
-            found, source, headers.HeaderCodec(), lambda: settings.load(path)
+            loaded, source, headers.HeaderCodec(), lambda: settings.load(path)
         )
         return await gateway_daemon.run_until_signal(program)
 
--- a/src/masticward/platform/settings.py
+++ b/src/masticward/platform/settings.py
@@ -1,4 +1,7 @@
-"""Reads the settings file that the platform writes for each process."""
+"""Settings file that the platform writes for each process.
+
+The struct fields have the names of the file.
+"""
 
 import pathlib
 import typing
@@ -12,20 +15,20 @@
 
 
 class Listen(msgspec.Struct):
-    """Addresses that this process serves."""
+    """Addresses on which the process listens."""
 
-    front: str  # for clients
+    front: str  # client requests
     ready: str
 
 
 class Store(msgspec.Struct):
-    """The platform's store."""
+    """Location of the platform's store."""
 
     address: str
 
 
 class BoundsTable(msgspec.Struct):
-    """Bounds of the installation. Missing ones take the values that all known sites use."""
+    """Bounds of the deployment. The defaults are the values that all known sites use."""
 
     grace_s: float = 8
     revoke_ms: float = 5000
@@ -37,7 +40,7 @@
 
 
 class SettingsFile(msgspec.Struct):
-    """The fields that the gateway uses; others are ignored."""
+    """The settings that the gateway uses; other fields are ignored."""
 
     node: str
     ip: str
@@ -50,22 +53,22 @@
 
 
 def decode(text: str) -> gateway.GatewaySettings:
-    """Decode settings; raises SettingsError with the path of the wrong field."""
+    """Decode settings; raise SettingsError with the path of an invalid field."""
     try:
         document: typing.Any = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
-        found = msgspec.convert(document, SettingsFile)
+        file = msgspec.convert(document, SettingsFile)
     except (yaml.YAMLError, msgspec.ValidationError) as error:
         raise errors.SettingsError([f"platform settings: {error}"]) from error
-    bounds = found.bounds
+    bounds = file.bounds
     return gateway.GatewaySettings(
-        instance_id=found.node,
-        ip=found.ip,
-        availability_zone=found.zone,
-        client_address=found.listen.front,
-        ready_address=found.listen.ready,
-        peer_port=found.port_range[0],
-        seed_ips=tuple(addresses.split(seed)[0] for seed in found.seeds),
-        store_address=found.platform.address,
+        instance_id=file.node,
+        ip=file.ip,
+        availability_zone=file.zone,
+        client_address=file.listen.front,
+        ready_address=file.listen.ready,
+        peer_port=file.port_range[0],
+        seed_ips=tuple(addresses.split(seed)[0] for seed in file.seeds),
+        store_address=file.platform.address,
         bounds=gateway.Bounds(
             revoke_seconds=bounds.revoke_ms / clocks.MILLISECONDS_PER_SECOND,
             stop_grace_seconds=bounds.grace_s,
@@ -79,7 +82,7 @@
 
 
 def load(path: pathlib.Path) -> gateway.GatewaySettings:
-    """Read and decode the settings file; raises SettingsError."""
+    """Read and decode the settings file; raise SettingsError if that fails."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
--- a/src/masticward/platform/store.py
+++ b/src/masticward/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store."""
+"""Client of the platform's store."""
 
 import asyncio
 import typing
@@ -20,15 +20,15 @@
     sources.ObjectKind.MEMBERS: names.KIND_MEMBERS,
 }
 CONNECT_TIMEOUT_SECONDS = 0.5
-# The store answers in about 4 ms; a slow one (50 times) still answers within this.
+# The store usually responds in about 4 ms; this also suffices for one that is 50 times slower.
 CALL_TIMEOUT_SECONDS = 1.0
-GONE = 410
-CONFLICT = 409
+GONE_STATUS = 410
+CONFLICT_STATUS = 409
 LOGGER = logs.get_logger(__name__)
 
 
 class Metadata(msgspec.Struct):
-    """The part of a stored object that the store keeps."""
+    """The metadata that the store maintains for an object."""
 
     name: str
     revision: int = 0
@@ -36,7 +36,7 @@
 
 
 class ListBody(msgspec.Struct):
-    """A page of a listing. ``current_rev`` is the store's revision, not the page's newest."""
+    """One page of a listing. ``current_rev`` is the store's revision, not the page's highest."""
 
     items: list[dict[str, typing.Any]]
     current_rev: int
@@ -44,21 +44,21 @@
 
 
 class WatchEvent(msgspec.Struct):
-    """One change."""
+    """One change of an object."""
 
     object: dict[str, typing.Any]
     removed: bool = False
 
 
 class WatchBody(msgspec.Struct):
-    """The changes after a revision."""
+    """Changes after the revision of a watch."""
 
     events: list[WatchEvent]
     current_rev: int
 
 
 class Store(sources.FleetSource):
-    """Calls the store, each kind of object on a kept connection of its own."""
+    """Store client with one persistent connection per kind of object."""
 
     def __init__(self, address: str) -> None:
         super().__init__()
@@ -74,7 +74,10 @@
         timeout_seconds: float,
         document: typing.Any = None,
     ) -> tuple[int, bytes]:
-        """Make one call; raises StoreUnavailableError if there is no whole answer in time."""
+        """Make one call and return its status and body.
+
+        Raise StoreUnavailableError if there is no complete response in time.
+        """
         self.calls += 1
         channel = self.connections.pop(kind, None)
         if channel is not None and channel.peer_gone:
@@ -109,16 +112,20 @@
         return answer.status, data
 
     async def read(self, kind: sources.ObjectKind, path: str, timeout_seconds: float) -> bytes:
-        """Make a reading call; raises StoreUnavailableError or HistoryLostError."""
+        """Make a GET call and return its body.
+
+        Raise HistoryLostError if the store no longer has the requested changes, and
+        StoreUnavailableError on any other failure.
+        """
         status, data = await self.call(kind, b"GET", path, timeout_seconds)
-        if status == GONE:
+        if status == GONE_STATUS:
             raise errors.HistoryLostError(path)
         if status != 200:
             raise errors.StoreUnavailableError(path, f"status {status}")
         return data
 
     async def list_objects(self, kind: sources.ObjectKind) -> sources.Listing:
-        """Return all objects of a kind as they are now."""
+        """Return all current objects of a kind."""
         name = KIND_NAMES[kind]
         items: list[sources.Listed] = []
         after = ""
@@ -127,7 +134,7 @@
             query = f"?after={urllib.parse.quote(after)}" if after else ""
             data = await self.read(kind, f"/objects/{name}{query}", CALL_TIMEOUT_SECONDS)
             body = decode(data, ListBody, name)
-            # Changes between two pages are seen again by a watch from the first page's revision.
+            # A watch from the first page's revision also returns the changes between pages.
             revision = body.current_rev if revision is None else revision
             for item in body.items:
                 listed = decode_item(kind, item, False)
@@ -140,23 +147,23 @@
     async def watch(
         self, kind: sources.ObjectKind, revision: int, wait_seconds: float
     ) -> sources.Listing:
-        """Return the changes after a revision, or none after ``wait_seconds``."""
+        """Return the changes after a revision; an empty listing if there are none in time."""
         name = KIND_NAMES[kind]
         path = f"/objects/{name}?watch={revision}&wait_ms={int(wait_seconds * 1000)}"
         data = await self.read(kind, path, wait_seconds + CALL_TIMEOUT_SECONDS)
         body = decode(data, WatchBody, name)
-        found = (decode_item(kind, event.object, event.removed) for event in body.events)
+        items = (decode_item(kind, event.object, event.removed) for event in body.events)
         return sources.Listing(
-            tuple(item for item in found if item is not None), body.current_rev, False
+            tuple(item for item in items if item is not None), body.current_rev, False
         )
 
     async def register(self, member: sources.Member) -> None:
-        """Store this process among the members."""
+        """Create or replace this process's entry in the list of members."""
         kind = sources.ObjectKind.MEMBERS
         path = f"/objects/{names.KIND_MEMBERS}"
         document = {"metadata": {"name": member.instance_id}, "spec": member}
         status, _ = await self.call(kind, b"POST", path, CALL_TIMEOUT_SECONDS, document)
-        if status == CONFLICT:
+        if status == CONFLICT_STATUS:
             path = f"{path}/{urllib.parse.quote(member.instance_id)}"
             status, _ = await self.call(kind, b"PUT", path, CALL_TIMEOUT_SECONDS, document)
         if not 200 <= status < 300:
@@ -164,17 +171,20 @@
 
 
 def decode(data: bytes, body_type: type[typing.Any], name: str) -> typing.Any:
-    """Decode a body of the store; raises StoreUnavailableError if it is not one."""
+    """Decode a response body; raise StoreUnavailableError if it is malformed."""
     try:
         return msgspec.json.decode(data, type=body_type)
     except msgspec.DecodeError as error:
-        raise errors.StoreUnavailableError(name, f"not a body of the store: {error}") from error
+        raise errors.StoreUnavailableError(name, f"malformed response body: {error}") from error
 
 
 def decode_item(
     kind: sources.ObjectKind, document: dict[str, typing.Any], removed: bool
 ) -> sources.Listed | None:
-    """Return a stored object; None if not even its name can be read."""
+    """Return a stored object; None if its metadata is invalid.
+
+    An object with valid metadata and invalid content is returned with the value None.
+    """
     try:
         metadata = msgspec.convert(document.get("metadata"), Metadata)
     except msgspec.ValidationError as error:
--- a/src/masticward/state/cold_start.py
+++ b/src/masticward/state/cold_start.py
@@ -1,22 +1,22 @@
-"""Paces requests to cold endpoints over all gateways."""
+"""Rate limit for requests to cold endpoints, shared by all gateways."""
 
 from masticward.utils import identifiers
 
-# Only this many gateways send to a cold endpoint, so that each still has a usable rate.
+# Number of gateways that may send to one cold endpoint, so that each has a usable rate.
 MAX_SENDERS = 3
-# A process that has just started hears all its peers within this time. Before, it does not know who
-# else sends: 26 gateways that were started together sent 21 requests in a second.
+# A new process receives messages from all its peers within this time. Until then it cannot tell
+# which gateways share the rate: 26 gateways started together sent 21 requests in one second.
 PEER_DISCOVERY_SECONDS = 2.0
 
 
 def senders(endpoint_id: str, gateways: list[str]) -> list[str]:
-    """Return the gateways that may send to a cold endpoint, by rendezvous hashing."""
+    """Return the IDs of the gateways that may send to a cold endpoint, by rendezvous hashing."""
     ranked = sorted(gateways, key=lambda item: identifiers.stable_hash(endpoint_id, item))
     return ranked[:MAX_SENDERS]
 
 
 class ColdStartLimiter:
-    """Spaces the sends of this process. Times are seconds of ``clocks.boot_time``."""
+    """Spaces this process's requests to cold endpoints. Times are in seconds of ``boot_time``."""
 
     __slots__ = ("next_send_at",)
 
@@ -26,16 +26,19 @@
     def may_send(
         self, endpoint_id: str, rate: float, own_id: str, gateways: list[str], now: float
     ) -> bool:
-        """Whether this process may send a request to a cold endpoint now."""
+        """Return whether this process may send a request to a cold endpoint now.
+
+        ``rate`` is the fleet-wide limit in requests per second.
+        """
         if now < self.next_send_at.get(endpoint_id, 0.0):
             return False
         return rate > 0 and own_id in senders(endpoint_id, gateways)
 
     def record_send(self, endpoint_id: str, rate: float, gateways: int, now: float) -> None:
-        """Reserve the time until this process may send again."""
+        """Set the time of the next permitted request from this process's share of the rate."""
         share = rate / max(1, min(MAX_SENDERS, gateways))
         self.next_send_at[endpoint_id] = now + 1.0 / max(share, 0.01)
 
     def remove(self, endpoint_id: str) -> None:
-        """Drop an endpoint that is gone."""
+        """Remove the state of an endpoint that is gone."""
         self.next_send_at.pop(endpoint_id, None)
--- a/src/masticward/state/endpoint_health.py
+++ b/src/masticward/state/endpoint_health.py
@@ -1,102 +1,103 @@
-"""Tells failing endpoints from sound ones by what their calls show.
+"""Health of endpoints, derived from the outcomes and latencies of their requests.
 
-Times are seconds of ``clocks.boot_time``.
+Times are in seconds of ``clocks.boot_time``.
 """
 
 import math
 
 import msgspec
 
-# Failures count for about this long.
-MEMORY_SECONDS = 5.0
-# Outcomes that weigh as successes before anything is known.
+# Time constant of the exponential decay of success and failure counts.
+DECAY_SECONDS = 5.0
+# Successes assumed for an endpoint without recorded outcomes.
 PRIOR_SUCCESSES = 3.0
-# Unreachable endpoints are left alone for this long, doubled with each further failure.
-FIRST_PAUSE_SECONDS = 0.5
-LONGEST_PAUSE_SECONDS = 3.0
-# An endpoint that sheds is full for about this long.
-SHED_PAUSE_SECONDS = 0.25
-SPEED_WEIGHT = 0.15
-SLOWEST_FACTOR = 12.0
-# A sound engine's first event is this late now and then: other prompts are read in between, and
-# peers' work is known late. Without this tolerance each gateway prefers other engines by chance.
+# Exponential backoff for unreachable endpoints.
+MIN_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 3.0
+# An endpoint that sheds a request stays full for about this long.
+SHED_BACKOFF_SECONDS = 0.25
+SLOWNESS_EWMA_WEIGHT = 0.15
+MAX_SLOWNESS = 12.0
+# A healthy engine's first event is occasionally this late, because other prompts are prefilled in
+# between and load updates from peers are delayed. Without this tolerance, random delays would make
+# each gateway prefer different engines.
 LATENCY_TOLERANCE_SECONDS = 0.1
 
 
 class EndpointHealth(msgspec.Struct):
-    """What is known of one endpoint."""
+    """Decayed outcome counts, backoff and latency of one endpoint."""
 
     successes: float = 0.0
     failures: float = 0.0
     updated_at: float = 0.0
-    unreachable: int = 0
-    paused_until: float = 0.0
-    # Measured over expected time to the first event.
+    failed_connects: int = 0
+    backoff_until: float = 0.0
+    # Smoothed ratio of the measured to the expected time to the first event.
     slowness: float = 1.0
 
 
 class HealthTracker:
-    """Records of all endpoints."""
+    """Health of all endpoints, by endpoint ID."""
 
-    __slots__ = ("records",)
+    __slots__ = ("endpoints",)
 
     def __init__(self) -> None:
-        self.records: dict[str, EndpointHealth] = {}
+        self.endpoints: dict[str, EndpointHealth] = {}
 
     def get(self, endpoint_id: str, now: float) -> EndpointHealth:
-        """Return an endpoint's record, decayed to the present."""
-        found = self.records.get(endpoint_id)
-        if found is None:
-            found = self.records[endpoint_id] = EndpointHealth(updated_at=now)
-        factor = math.exp(-max(0.0, now - found.updated_at) / MEMORY_SECONDS)
-        found.successes *= factor
-        found.failures *= factor
-        found.updated_at = now
-        return found
+        """Return the health of an endpoint, decayed to the time ``now``."""
+        health = self.endpoints.get(endpoint_id)
+        if health is None:
+            health = self.endpoints[endpoint_id] = EndpointHealth(updated_at=now)
+        factor = math.exp(-max(0.0, now - health.updated_at) / DECAY_SECONDS)
+        health.successes *= factor
+        health.failures *= factor
+        health.updated_at = now
+        return health
 
     def record_success(self, endpoint_id: str, now: float) -> None:
-        """Note a whole answer."""
-        record = self.get(endpoint_id, now)
-        record.successes += 1
-        record.unreachable = 0
-        record.paused_until = 0.0
+        """Count a complete response and end the backoff."""
+        health = self.get(endpoint_id, now)
+        health.successes += 1
+        health.failed_connects = 0
+        health.backoff_until = 0.0
 
     def record_failure(self, endpoint_id: str, now: float, weight: float = 1.0) -> None:
-        """Note a broken or failed answer."""
+        """Count a broken or failed response."""
         self.get(endpoint_id, now).failures += weight
 
     def record_unreachable(self, endpoint_id: str, now: float) -> float:
-        """Note that no connection could be opened; returns the pause in seconds."""
-        record = self.get(endpoint_id, now)
-        record.failures += 1
-        record.unreachable += 1
-        pause = FIRST_PAUSE_SECONDS * 2.0 ** min(4, record.unreachable - 1)
-        record.paused_until = now + min(LONGEST_PAUSE_SECONDS, pause)
-        return min(LONGEST_PAUSE_SECONDS, pause)
+        """Count a failed connection attempt; return the backoff in seconds."""
+        health = self.get(endpoint_id, now)
+        health.failures += 1
+        health.failed_connects += 1
+        backoff = MIN_BACKOFF_SECONDS * 2.0 ** min(4, health.failed_connects - 1)
+        health.backoff_until = now + min(MAX_BACKOFF_SECONDS, backoff)
+        return min(MAX_BACKOFF_SECONDS, backoff)
 
     def record_shed(self, endpoint_id: str, now: float) -> None:
-        """Note that the endpoint refused a request as full."""
-        record = self.get(endpoint_id, now)
-        record.paused_until = max(record.paused_until, now + SHED_PAUSE_SECONDS)
+        """Back off for a short time from an endpoint that refused a request because it is full."""
+        health = self.get(endpoint_id, now)
+        health.backoff_until = max(health.backoff_until, now + SHED_BACKOFF_SECONDS)
 
     def record_latency(
         self, endpoint_id: str, measured: float, expected: float, now: float
     ) -> None:
-        """Note the time to the first event against the expected one, both in seconds."""
-        record = self.get(endpoint_id, now)
+        """Record the measured and the expected time to the first event, in seconds."""
+        health = self.get(endpoint_id, now)
         ratio = (measured - LATENCY_TOLERANCE_SECONDS) / max(expected, LATENCY_TOLERANCE_SECONDS)
-        ratio = min(SLOWEST_FACTOR, max(1.0, ratio))
-        record.slowness += SPEED_WEIGHT * (ratio - record.slowness)
+        ratio = min(MAX_SLOWNESS, max(1.0, ratio))
+        health.slowness += SLOWNESS_EWMA_WEIGHT * (ratio - health.slowness)
 
     def failure_ratio(self, endpoint_id: str, now: float) -> float:
-        """Return the share of failures, between 0 and 1."""
-        record = self.get(endpoint_id, now)
-        return record.failures / (record.failures + record.successes + PRIOR_SUCCESSES)
+        """Return the fraction of failed requests, from 0 to 1."""
+        health = self.get(endpoint_id, now)
+        return health.failures / (health.failures + health.successes + PRIOR_SUCCESSES)
 
     def in_backoff(self, endpoint_id: str, now: float) -> bool:
-        """Whether the endpoint gets no requests now."""
-        return now < self.get(endpoint_id, now).paused_until
+        """Return whether the endpoint must not be sent requests now."""
+        return now < self.get(endpoint_id, now).backoff_until
 
     def remove(self, endpoint_id: str) -> None:
-        """Drop an endpoint that is gone."""
-        self.records.pop(endpoint_id, None)
+        """Remove the state of an endpoint that is gone."""
+        self.endpoints.pop(endpoint_id, None)
--- a/src/masticward/state/endpoint_table.py
+++ b/src/masticward/state/endpoint_table.py
@@ -1,6 +1,6 @@
-"""The endpoints that the platform lists, and which of them may get new work.
+"""Endpoints listed in the platform's store, and which of them may be sent new requests.
 
-Moments are seconds of ``clocks.boot_time``.
+Times are in seconds of ``clocks.boot_time``.
 """
 
 import collections.abc
@@ -10,12 +10,12 @@
 from masticward.models import gateway
 from masticward.utils import identifiers
 
-# After an outage of the store, living endpoints are listed again within about 2 s (users' letter).
+# After a store outage, the platform lists live endpoints again within about 2 s.
 RELIST_GRACE_SECONDS = 2.0
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change of what this process believes of an endpoint."""
+    """A state change of an endpoint: "added", "draining" or "gone"."""
 
     endpoint_id: str
     state: str
@@ -23,12 +23,12 @@
 
 
 class EndpointTable:
-    """Endpoints by id. A missing endpoint stays usable for a while after an outage of the store."""
+    """Endpoints by ID. After a store outage, missing ones stay usable for a grace period."""
 
     __slots__ = (
+        "cached_digest",
         "endpoints",
         "grace_until",
-        "known_digest",
         "missing",
         "out_zones",
         "zone_cold_until",
@@ -36,30 +36,34 @@
 
     def __init__(self) -> None:
         self.endpoints: dict[str, gateway.Endpoint] = {}
-        # Endpoints that lapsed while the store was away, with the moment at which they are dropped.
+        # Endpoints whose store entries expired during an outage, with the time of their removal.
         self.missing: dict[str, float] = {}
         self.out_zones: set[str] = set()
-        # Zones taken back: their endpoints may have become cold.
+        # Zones back in service, with the time until which their endpoints count as cold: they may
+        # have cooled down meanwhile.
         self.zone_cold_until: dict[str, float] = {}
         self.grace_until = 0.0
-        # None while the digest has to be computed again.
-        self.known_digest: int | None = None
+        # None while the digest is out of date.
+        self.cached_digest: int | None = None
 
     def start_relist_grace(self, now: float) -> None:
-        """Keep endpoints that lapsed during an outage until they can be listed again."""
+        """Start the grace period in which endpoints missing after a store outage are kept."""
         self.grace_until = now + RELIST_GRACE_SECONDS
 
     def apply(
         self,
-        found: collections.abc.Iterable[tuple[str, gateway.Endpoint | None]],
+        entries: collections.abc.Iterable[tuple[str, gateway.Endpoint | None]],
         complete: bool,
         now: float,
     ) -> list[Change]:
-        """Take over a listing (``complete``) or the changes of a watch; None means removed."""
+        """Apply a listing (``complete``) or the changes of a watch, and return the state changes.
+
+        An ID with None stands for a removed endpoint.
+        """
         changes: list[Change] = []
-        self.known_digest = None
+        self.cached_digest = None
         seen = set()
-        for endpoint_id, endpoint in found:
+        for endpoint_id, endpoint in entries:
             seen.add(endpoint_id)
             if endpoint is None:
                 self.remove(endpoint_id, now, changes)
@@ -73,16 +77,16 @@
 
     def put(self, endpoint: gateway.Endpoint, changes: list[Change]) -> None:
         """Add or replace an endpoint."""
-        known = self.endpoints.get(endpoint.id)
+        previous = self.endpoints.get(endpoint.id)
         self.missing.pop(endpoint.id, None)
         self.endpoints[endpoint.id] = endpoint
-        if known is None or known.born != endpoint.born:
+        if previous is None or previous.born != endpoint.born:
             changes.append(Change(endpoint.id, "added", endpoint.address))
-        if endpoint.draining and (known is None or not known.draining):
+        if endpoint.draining and (previous is None or not previous.draining):
             changes.append(Change(endpoint.id, "draining"))
 
     def remove(self, endpoint_id: str, now: float, changes: list[Change]) -> None:
-        """Drop an endpoint, at once or at the end of the grace after an outage."""
+        """Remove an endpoint: at once, or at the end of a current grace period."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None:
             return
@@ -94,9 +98,9 @@
         changes.append(Change(endpoint_id, "gone"))
 
     def remove_expired(self, now: float, changes: list[Change]) -> None:
-        """Drop endpoints whose grace is over."""
+        """Remove missing endpoints whose grace period is over."""
         for endpoint_id in [item for item, until in self.missing.items() if until <= now]:
-            self.known_digest = None
+            self.cached_digest = None
             del self.missing[endpoint_id]
             self.endpoints.pop(endpoint_id, None)
             changes.append(Change(endpoint_id, "gone", "not listed after an outage"))
@@ -104,18 +108,20 @@
     def set_out_zones(
         self, zones: set[str], now: float, services: collections.abc.Mapping[str, gateway.Service]
     ) -> bool:
-        """Take over the zones that operators have taken out; returns whether they changed."""
+        """Set the zones that operators have taken out of service; return whether they changed."""
         if zones == self.out_zones:
             return False
-        self.known_digest = None
-        longest = max((item.cold_start_seconds for item in services.values()), default=0.0)
+        self.cached_digest = None
+        longest_cold_start = max(
+            (item.cold_start_seconds for item in services.values()), default=0.0
+        )
         for zone in self.out_zones - zones:
-            self.zone_cold_until[zone] = now + longest
+            self.zone_cold_until[zone] = now + longest_cold_start
         self.out_zones = set(zones)
         return True
 
     def usable(self, service: str, now: float) -> list[gateway.Endpoint]:
-        """Return the endpoints of a service that may get new work."""
+        """Return the endpoints of a service that may be sent new requests."""
         return [
             endpoint
             for endpoint in self.endpoints.values()
@@ -126,16 +132,16 @@
         ]
 
     def digest(self) -> int:
-        """Return a number that is the same in all processes with the same listed endpoints."""
-        if self.known_digest is None:
+        """Return a hash of the listed endpoints and out zones that is the same in all processes."""
+        if self.cached_digest is None:
             listed = sorted(
                 f"{item.id} {item.born} {item.draining}"
                 for item in self.endpoints.values()
                 if item.id not in self.missing
             )
-            self.known_digest = identifiers.stable_hash(*listed, *sorted(self.out_zones))
-        return self.known_digest
+            self.cached_digest = identifiers.stable_hash(*listed, *sorted(self.out_zones))
+        return self.cached_digest
 
     def cold_until(self, endpoint: gateway.Endpoint) -> float:
-        """Return the moment until which an endpoint has to be treated as cold."""
+        """Return the time until which an endpoint counts as cold."""
         return max(endpoint.cold_until, self.zone_cold_until.get(endpoint.availability_zone, 0.0))
--- a/src/masticward/state/placement.py
+++ b/src/masticward/state/placement.py
@@ -1,4 +1,8 @@
-"""Chooses the endpoint of a request."""
+"""Choice of the endpoint that serves a request.
+
+An engine is the endpoint of a service with a declared engine capacity; a plain endpoint belongs to
+a service without one. Unread tokens are prompt tokens that an engine has not prefilled yet.
+"""
 
 import collections.abc
 import functools
@@ -10,79 +14,83 @@
 from masticward.state import endpoint_health, load_table, prompt_cache
 from masticward.utils import identifiers
 
-# Prompt tokens that a sound engine reads in a second, until its own speed is known.
+# Prefill rate of a healthy engine, assumed until an engine's own slowness has been measured.
 PREFILL_TOKENS_PER_SECOND = 50_000.0
-# Time that each request at an engine adds to the next one's first event.
-REQUEST_SECONDS = 0.0008
-# Seconds by which a failing endpoint looks further away, at a failure ratio of 1.
-FAILURE_SECONDS = 3.0
-# Reading a shared part once more takes capacity from other requests, not only time from this one.
-REREAD_WEIGHT = 2.5
-# A request that has waited for this part of its objective takes any engine that is idle.
+# Delay of the first event for each request that is already at the engine.
+REQUEST_OVERHEAD_SECONDS = 0.0008
+# Cost of an endpoint with a failure ratio of 1; scales with the ratio.
+FAILURE_PENALTY_SECONDS = 3.0
+# Weight of the time to recompute a shared prefix. It is above 1 because the recomputation takes
+# capacity from other requests as well as time from this one.
+RECOMPUTE_WEIGHT = 2.5
+# Fraction of the latency target after which a waiting request takes any idle engine, also one
+# without its shared prefix.
 AFFINITY_WAIT_FRACTION = 0.4
-# The owner of a shared prefix is preferred by this part of the time to read that prefix.
-OWNER_PREFERENCE = 0.35
-# An engine with more unread tokens than it reads in this time gets nothing more, so that the order
-# of the waiting requests stays with the gateways.
+# Cost reduction for the owner of a shared prefix, as a fraction of the prefix's prefill time.
+OWNER_PREFERENCE_FRACTION = 0.35
+# Longest prefill backlog at which an engine is sent more requests. The others wait in the gateways,
+# which decide their order.
 PREFILL_WINDOW_SECONDS = 0.35
-# A team above its share leaves the rest of the window to the others. Engines stay busy with this.
+# Window of a team above its fair share; it keeps engines busy and leaves the rest to other teams.
 OVER_SHARE_WINDOW_SECONDS = 0.22
-# However far above its share a team is: news of free engines takes up to 60 ms to a busy gateway.
+# Smallest window of any team: load updates reach a busy gateway up to 60 ms late, and engines must
+# not run idle in the meantime.
 MIN_WINDOW_SECONDS = 0.06
-MEMORY_SHARE = 0.9
-# Hashing over all endpoints is repeated for each look at a waiting request.
-OWNERS_REMEMBERED = 4096
-# Time that a plain call waits for each call ahead of it, per slot.
-PLAIN_CALL_SECONDS = 0.03
+# Fraction of an engine's cache tokens that running requests may occupy.
+MAX_MEMORY_FRACTION = 0.9
+# Owners are cached because each placement attempt would otherwise hash all endpoints again.
+OWNER_CACHE_ENTRIES = 4096
+# Expected wait at a plain endpoint per request ahead, divided by the number of slots.
+PLAIN_REQUEST_SECONDS = 0.03
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """An endpoint for a request. ``has_capacity`` is False while the request should wait for it."""
+    """An endpoint for a request; the request should wait while ``has_capacity`` is False."""
 
     endpoint: gateway.Endpoint
     cost_seconds: float
-    # Expected time to the first event at an endpoint of ordinary speed, without preferences.
+    # Expected time to the first event at an endpoint of normal speed, without preferences.
     expected_seconds: float
     unread_tokens: int
     has_capacity: bool
     slowness: float
-    # Endpoint that rendezvous hashing names for the shared prefix, if there is one.
+    # Owner of the shared prefix by rendezvous hashing; None without a shared prefix.
     owner_id: str | None
 
 
 class PlacementView(msgspec.Struct, frozen=True):
-    """The state that the choice depends on."""
+    """Load, prompt cache and health state that a choice depends on."""
 
     loads: load_table.LoadTable
     caches: prompt_cache.PromptCaches
     health: endpoint_health.HealthTracker
 
 
-@functools.lru_cache(maxsize=OWNERS_REMEMBERED)
+@functools.lru_cache(maxsize=OWNER_CACHE_ENTRIES)
 def prefix_owner(prefix_key: int, endpoint_ids: tuple[str, ...]) -> str:
-    """Return the endpoint that keeps a shared prefix, by rendezvous hashing."""
+    """Return the ID of the endpoint that owns a shared prefix, by rendezvous hashing."""
     return max(endpoint_ids, key=lambda item: rendezvous_weight(prefix_key, item))
 
 
 def rendezvous_weight(prefix_key: int, endpoint_id: str) -> int:
-    """Return the rendezvous weight of an endpoint for a shared prefix."""
+    """Return the rendezvous hash weight of an endpoint for a shared prefix."""
     return identifiers.stable_hash(f"{prefix_key:x}", endpoint_id)
 
 
-def recompute_weight(waited_seconds: float, target_seconds: float, busy: float) -> float:
-    """Return the weight of shared parts that would be read again.
+def recompute_weight(waited_seconds: float, target_seconds: float, utilization: float) -> float:
+    """Return the cost weight of recomputing a shared prefix.
 
-    It falls for who has waited, as far as other engines are idle: while all are busy, reading a
-    part once more takes their time from other requests.
+    The weight falls with the time that the request has waited, but not below the prefill
+    utilization (0 to 1): on busy engines, a recomputation takes time from other requests.
     """
-    patience = 1.0 - waited_seconds / (AFFINITY_WAIT_FRACTION * target_seconds)
-    return REREAD_WEIGHT * max(0.0, patience, busy)
+    affinity = 1.0 - waited_seconds / (AFFINITY_WAIT_FRACTION * target_seconds)
+    return RECOMPUTE_WEIGHT * max(0.0, affinity, utilization)
 
 
 def prefill_window_seconds(excess: float | None) -> float:
-    """Return the unread work up to which an engine takes a request of a team.
+    """Return the longest prefill backlog, in seconds, at which an engine takes a team's request.
 
-    ``excess`` is how many times its share the team was served, None if it is not above it.
+    ``excess`` is the team's recent usage as a multiple of its fair share, None if not above it.
     """
     if excess is None:
         return PREFILL_WINDOW_SECONDS
@@ -90,18 +98,18 @@
 
 
 class EngineState:
-    """What the choice needs of one engine, computed once for many waiting requests."""
+    """Snapshot of one engine, computed once for many waiting requests."""
 
-    __slots__ = ("cache", "endpoint", "failure_seconds", "slowness", "work")
+    __slots__ = ("cache", "endpoint", "failure_seconds", "load", "slowness")
 
     def __init__(
         self, endpoint: gateway.Endpoint, engine: gateway.Engine, view: PlacementView, now: float
     ) -> None:
         self.endpoint = endpoint
-        self.work = view.loads.total(endpoint.id)
+        self.load = view.loads.total(endpoint.id)
         self.cache = view.caches.get(endpoint.id, engine.cache_tokens)
         self.slowness = view.health.get(endpoint.id, now).slowness
-        self.failure_seconds = FAILURE_SECONDS * view.health.failure_ratio(endpoint.id, now)
+        self.failure_seconds = FAILURE_PENALTY_SECONDS * view.health.failure_ratio(endpoint.id, now)
 
 
 def engine_states(
@@ -110,28 +118,33 @@
     view: PlacementView,
     now: float,
 ) -> list[EngineState]:
-    """Return the states of engines as they are now."""
+    """Return snapshots of engines at the time ``now``."""
     return [EngineState(endpoint, engine, view, now) for endpoint in candidates]
 
 
 def prefill_utilization(states: collections.abc.Sequence[EngineState]) -> float:
-    """Return how busy the engines are with reading on average, from 0 (idle) to 1."""
+    """Return the average prefill utilization of the engines, from 0 (idle) to 1."""
     if not states:
         return 0.0
     window_tokens = OVER_SHARE_WINDOW_SECONDS * PREFILL_TOKENS_PER_SECOND
-    busy = sum(min(1.0, state.work.unread_tokens / window_tokens) for state in states)
-    return max(0.0, busy / len(states))
+    total = sum(min(1.0, state.load.unread_tokens / window_tokens) for state in states)
+    return max(0.0, total / len(states))
 
 
 def choose_engine(
     states: collections.abc.Sequence[EngineState],
     engine: gateway.Engine,
     keys: list[tuple[int, int]],
-    terms: gateway.RequestMetadata,
+    request: gateway.RequestMetadata,
     recompute_weight: float,
     window_seconds: float,
 ) -> Choice | None:
-    """Return the engine on which the request's first event is expected first."""
+    """Return the engine with the lowest expected cost; None if there are no engines.
+
+    ``keys`` has key and cumulative tokens of each prompt prefix; the last but one is the shared
+    prefix. The cost is the expected time to the first event in seconds, plus penalties for
+    failures and for recomputing the shared prefix, less the preference for its owner.
+    """
     if not states:
         return None
     owner_id = None
@@ -143,16 +156,16 @@
     best_expected = 0.0
     best_unread = 0
     for state in states:
-        work = state.work
+        load = state.load
         cached = state.cache.cached_tokens(keys)
-        unread = max(1, terms.prompt_tokens - cached)
-        expected = (work.unread_tokens + unread) / PREFILL_TOKENS_PER_SECOND
-        expected += work.requests * REQUEST_SECONDS
+        unread = max(1, request.prompt_tokens - cached)
+        expected = (load.unread_tokens + unread) / PREFILL_TOKENS_PER_SECOND
+        expected += load.requests * REQUEST_OVERHEAD_SECONDS
         cost = expected * state.slowness + state.failure_seconds
         if shared_key is not None:
             cost += recompute_weight * max(0, shared_tokens - cached) / PREFILL_TOKENS_PER_SECOND
             if state.endpoint.id == owner_id:
-                cost -= OWNER_PREFERENCE * shared_tokens / PREFILL_TOKENS_PER_SECOND
+                cost -= OWNER_PREFERENCE_FRACTION * shared_tokens / PREFILL_TOKENS_PER_SECOND
         if cost < best_cost:
             best, best_cost, best_expected, best_unread = state, cost, expected, unread
     return Choice(
@@ -160,7 +173,7 @@
         cost_seconds=best_cost,
         expected_seconds=best_expected,
         unread_tokens=best_unread,
-        has_capacity=has_capacity(best, engine, terms, best_unread, window_seconds),
+        has_capacity=has_capacity(best, engine, request, best_unread, window_seconds),
         slowness=best.slowness,
         owner_id=owner_id,
     )
@@ -169,13 +182,13 @@
 def any_has_capacity(
     states: collections.abc.Iterable[EngineState], engine: gateway.Engine, window_seconds: float
 ) -> bool:
-    """Whether some engine could take a request of the smallest size now."""
+    """Return whether any engine could take a request of minimal size now."""
     window_tokens = window_seconds * PREFILL_TOKENS_PER_SECOND
     return any(
-        state.work.requests == 0
+        state.load.requests == 0
         or (
-            state.work.requests < engine.slots
-            and state.work.unread_tokens * state.slowness < window_tokens
+            state.load.requests < engine.slots
+            and state.load.unread_tokens * state.slowness < window_tokens
         )
         for state in states
     )
@@ -184,20 +197,20 @@
 def has_capacity(
     state: EngineState,
     engine: gateway.Engine,
-    terms: gateway.RequestMetadata,
+    request: gateway.RequestMetadata,
     unread_tokens: int,
     window_seconds: float,
 ) -> bool:
-    """Whether an engine may get a request now; an idle one takes any."""
-    work = state.work
-    if work.requests == 0:
+    """Return whether an engine may be sent a request now; an idle engine takes any request."""
+    load = state.load
+    if load.requests == 0:
         return True
-    memory = work.memory_tokens + terms.prompt_tokens + terms.output_tokens
-    if work.requests >= engine.slots or memory > MEMORY_SHARE * engine.cache_tokens:
+    memory = load.memory_tokens + request.prompt_tokens + request.output_tokens
+    if load.requests >= engine.slots or memory > MAX_MEMORY_FRACTION * engine.cache_tokens:
         return False
-    if work.unread_tokens <= 0:
+    if load.unread_tokens <= 0:
         return True
-    seconds = (work.unread_tokens + unread_tokens) * state.slowness / PREFILL_TOKENS_PER_SECOND
+    seconds = (load.unread_tokens + unread_tokens) * state.slowness / PREFILL_TOKENS_PER_SECOND
     return seconds <= window_seconds
 
 
@@ -207,14 +220,16 @@
     view: PlacementView,
     now: float,
 ) -> Choice | None:
-    """Return the plain endpoint with the shortest wait."""
+    """Return the plain endpoint with the lowest expected cost; None without candidates."""
     best: Choice | None = None
     for endpoint in candidates:
         requests = view.loads.total(endpoint.id).requests
         slowness = view.health.get(endpoint.id, now).slowness
-        expected = PLAIN_CALL_SECONDS * (requests + 1) / endpoint.slots
-        cost = expected * slowness + FAILURE_SECONDS * view.health.failure_ratio(endpoint.id, now)
-        # Among equals the own zone, then a fixed order that spreads gateways.
+        expected = PLAIN_REQUEST_SECONDS * (requests + 1) / endpoint.slots
+        cost = expected * slowness + FAILURE_PENALTY_SECONDS * view.health.failure_ratio(
+            endpoint.id, now
+        )
+        # Ties go to this gateway's zone, then by a fixed order, so that gateways spread out.
         cost += 0.0 if endpoint.availability_zone == zone else 0.002
         if best is None or cost < best.cost_seconds:
             best = Choice(endpoint, cost, expected, 0, requests < endpoint.slots, slowness, None)
--- a/src/masticward/state/prompt_cache.py
+++ b/src/masticward/state/prompt_cache.py
@@ -1,4 +1,4 @@
-"""What each engine is believed to keep of the prompts it has read."""
+"""Model of the prompt prefixes that each engine holds in its cache."""
 
 import collections
 
@@ -6,12 +6,13 @@
 
 from masticward.models import gateway
 
-# Engines also keep the tokens of running requests; this much of the memory holds finished ones.
-KEPT_SHARE = 0.7
+# Fraction of an engine's token memory that holds prefixes of finished requests; running requests
+# occupy the rest.
+PREFIX_CACHE_FRACTION = 0.7
 
 
 def prefix_keys(parts: tuple[gateway.PromptPart, ...]) -> list[tuple[int, int]]:
-    """Return key and tokens of each prefix of a prompt; a key covers all parts before it."""
+    """Return the key and cumulative tokens of each prefix; a key hashes all parts up to its end."""
     keys = []
     digest = xxhash.xxh3_64()
     total = 0
@@ -24,54 +25,54 @@
 
 
 class EngineCache:
-    """A least recently used list of prefixes on one engine."""
+    """LRU model of the prefixes cached by one engine. ``capacity`` and ``total`` are in tokens."""
 
-    __slots__ = ("capacity", "kept", "total")
+    __slots__ = ("capacity", "prefixes", "total")
 
     def __init__(self, capacity: int) -> None:
-        self.capacity = int(capacity * KEPT_SHARE)
-        # Prefix key to the tokens of its last part.
-        self.kept: collections.OrderedDict[int, int] = collections.OrderedDict()
+        self.capacity = int(capacity * PREFIX_CACHE_FRACTION)
+        # Maps a prefix key to the tokens of the prefix's last part.
+        self.prefixes: collections.OrderedDict[int, int] = collections.OrderedDict()
         self.total = 0
 
     def cached_tokens(self, keys: list[tuple[int, int]]) -> int:
-        """Return how many tokens of a prompt the engine need not read again."""
+        """Return the number of prompt tokens that the engine need not prefill."""
         tokens = 0
         for key, total in keys:
-            if key not in self.kept:
+            if key not in self.prefixes:
                 break
             tokens = total
         return tokens
 
     def record_prompt(self, keys: list[tuple[int, int]]) -> None:
-        """Remember a prompt that was sent to the engine."""
-        before = 0
+        """Add a prompt that was sent to the engine, and evict the least recently used prefixes."""
+        previous_total = 0
         for key, total in keys:
-            if key not in self.kept:
-                self.kept[key] = total - before
-                self.total += total - before
-            self.kept.move_to_end(key)
-            before = total
-        while self.total > self.capacity and self.kept:
-            _, tokens = self.kept.popitem(last=False)
+            if key not in self.prefixes:
+                self.prefixes[key] = total - previous_total
+                self.total += total - previous_total
+            self.prefixes.move_to_end(key)
+            previous_total = total
+        while self.total > self.capacity and self.prefixes:
+            _, tokens = self.prefixes.popitem(last=False)
             self.total -= tokens
 
 
 class PromptCaches:
-    """The caches of all engines, by endpoint id."""
+    """Cache models of all engines, by endpoint ID."""
 
-    __slots__ = ("engines",)
+    __slots__ = ("caches",)
 
     def __init__(self) -> None:
-        self.engines: dict[str, EngineCache] = {}
+        self.caches: dict[str, EngineCache] = {}
 
     def get(self, endpoint_id: str, capacity: int) -> EngineCache:
-        """Return the cache of an engine."""
-        found = self.engines.get(endpoint_id)
-        if found is None:
-            found = self.engines[endpoint_id] = EngineCache(capacity)
-        return found
+        """Return the cache of an engine; create it with ``capacity`` tokens if there is none."""
+        cache = self.caches.get(endpoint_id)
+        if cache is None:
+            cache = self.caches[endpoint_id] = EngineCache(capacity)
+        return cache
 
     def remove(self, endpoint_id: str) -> None:
-        """Drop an engine that is gone or was started again."""
-        self.engines.pop(endpoint_id, None)
+        """Remove the cache of an engine that is gone or has restarted."""
+        self.caches.pop(endpoint_id, None)
--- a/src/masticward/state/retry_window.py
+++ b/src/masticward/state/retry_window.py
@@ -1,14 +1,15 @@
-"""Limits repeated sends of one service over a sliding window."""
+"""Budget for retries to one service over a sliding time window."""
 
 import collections
 
-# Gateways that this process does not know of may spend a share, too.
-SLACK_SHARE = 0.6
-MINIMUM_GATEWAYS = 4
+# Part of the fleet's slack that known gateways use; the rest is left to gateways that this process
+# does not know.
+SLACK_FRACTION = 0.6
+MIN_GATEWAYS = 4
 
 
 class WindowedRetryBudget:
-    """A process's part of the fleet's budget. Times are seconds of ``clocks.boot_time``."""
+    """One process's part of the fleet's retry budget. Times are in seconds of ``boot_time``."""
 
     __slots__ = ("ratio", "requests", "retries", "slack", "window_seconds")
 
@@ -20,21 +21,21 @@
         self.retries: collections.deque[float] = collections.deque()
 
     def record_request(self, now: float) -> None:
-        """Count a client's request."""
+        """Count a client's request, which adds to the budget."""
         self.requests.append(now)
         self.expire(now)
 
     def take(self, now: float, gateways: int) -> bool:
-        """Count a repeated send if the budget allows it."""
+        """Count a retry if the budget allows it; return whether it does."""
         self.expire(now)
-        share = self.slack * SLACK_SHARE / max(MINIMUM_GATEWAYS, gateways)
+        share = self.slack * SLACK_FRACTION / max(MIN_GATEWAYS, gateways)
         if len(self.retries) + 1 > self.ratio * len(self.requests) + share:
             return False
         self.retries.append(now)
         return True
 
     def expire(self, now: float) -> None:
-        """Drop what lies before the window."""
+        """Remove requests and retries that are older than the window."""
         for times in (self.requests, self.retries):
             while times and times[0] <= now - self.window_seconds:
                 times.popleft()
--- a/src/masticward/state/team_usage.py
+++ b/src/masticward/state/team_usage.py
@@ -1,25 +1,26 @@
-"""Tokens that each team has begun recently, in this process and in its peers."""
+"""Tokens that each team has recently been served, by this process and by its peers."""
 
 import math
 
 from masticward.models import gateway
 
-# Fairness is judged over windows of 4 to 6 s (pages of the platform).
-MEMORY_SECONDS = 4.0
+# Time constant of the decay. The platform judges fairness over windows of 4 to 6 s.
+DECAY_SECONDS = 4.0
 PEER_USAGE_MAX_AGE_SECONDS = 4.0
-# Requests that arrived just now have not begun; less than this is no shortage.
-UNSERVED_FACTOR = 1.1
-# Teams below this are left out of messages.
+# Demand above the served tokens by less than this ratio is no shortage: requests that have just
+# arrived are not started yet.
+SHORTAGE_RATIO = 1.1
+# Teams with fewer tokens are left out of peer messages.
 NEGLIGIBLE_TOKENS = 50.0
 
 
-def charged_tokens(terms: gateway.RequestMetadata) -> int:
-    """Return the tokens that a request counts for: each read once, each generated twice."""
-    return terms.prompt_tokens + 2 * terms.output_tokens
+def charged_tokens(request: gateway.RequestMetadata) -> int:
+    """Return the tokens charged for a request: prompt tokens once, output tokens twice."""
+    return request.prompt_tokens + 2 * request.output_tokens
 
 
 class TeamUsage:
-    """Exponentially decayed tokens by team. Times are seconds of ``clocks.boot_time``."""
+    """Exponentially decayed tokens by team. Times are in seconds of ``clocks.boot_time``."""
 
     __slots__ = ("own", "peers", "updated_at")
 
@@ -29,8 +30,8 @@
         self.updated_at = 0.0
 
     def decay(self, now: float) -> None:
-        """Bring the own figures to the present."""
-        factor = math.exp(-max(0.0, now - self.updated_at) / MEMORY_SECONDS)
+        """Decay this process's totals to the time ``now`` and drop negligible ones."""
+        factor = math.exp(-max(0.0, now - self.updated_at) / DECAY_SECONDS)
         self.updated_at = now
         self.own = {
             team: tokens * factor
@@ -39,51 +40,52 @@
         }
 
     def record(self, team: str, tokens: int, now: float) -> None:
-        """Add a request that was sent to an endpoint."""
+        """Add the tokens of a request to a team's total."""
         self.decay(now)
         self.own[team] = self.own.get(team, 0.0) + tokens
 
     def reportable_totals(self) -> dict[str, float]:
-        """Return the own figures that are worth telling peers."""
+        """Return this process's totals that are large enough to send to peers."""
         return {team: tokens for team, tokens in self.own.items() if tokens > NEGLIGIBLE_TOKENS}
 
-    def set_peer_usage(self, peer: str, figures: dict[str, float], now: float) -> None:
-        """Take over a peer's figures."""
-        self.peers[peer] = (now, figures)
+    def set_peer_usage(self, peer: str, totals: dict[str, float], now: float) -> None:
+        """Replace a peer's totals by those received at the time ``now``."""
+        self.peers[peer] = (now, totals)
 
     def team_total(self, team: str, now: float) -> float:
-        """Return the tokens of a team in the whole fleet, decayed."""
+        """Return a team's decayed tokens in the whole fleet."""
         return self.totals(now).get(team, 0.0)
 
     def totals(self, now: float) -> dict[str, float]:
-        """Return the recent tokens of every team that has some."""
-        factor = math.exp(-max(0.0, now - self.updated_at) / MEMORY_SECONDS)
+        """Return the decayed tokens of each team in the whole fleet."""
+        factor = math.exp(-max(0.0, now - self.updated_at) / DECAY_SECONDS)
         totals = {team: tokens * factor for team, tokens in self.own.items()}
-        for heard_at, figures in self.peers.values():
-            age = now - heard_at
+        for received_at, peer_totals in self.peers.values():
+            age = now - received_at
             if age > PEER_USAGE_MAX_AGE_SECONDS:
                 continue
-            factor = math.exp(-max(0.0, age) / MEMORY_SECONDS)
-            for team, tokens in figures.items():
+            factor = math.exp(-max(0.0, age) / DECAY_SECONDS)
+            for team, tokens in peer_totals.items():
                 totals[team] = totals.get(team, 0.0) + tokens * factor
         return totals
 
 
-def excess_over_share(asked: dict[str, float], begun: dict[str, float]) -> dict[str, float]:
-    """Return how many times its max-min share each team above it was served.
+def excess_over_share(demanded: dict[str, float], served: dict[str, float]) -> dict[str, float]:
+    """Return usage as a multiple of the max-min share, for each team above its share.
 
-    What was served is taken as the capacity: while nothing waits, all that was asked has begun and
-    no team is above its share.
+    ``demanded`` and ``served`` are tokens by team. The sum of the served tokens is taken as the
+    capacity. While nothing waits, all that was demanded is being served and no team is above its
+    share.
     """
-    served = sum(begun.values())
-    if sum(asked.values()) <= served * UNSERVED_FACTOR:
+    capacity = sum(served.values())
+    if sum(demanded.values()) <= capacity * SHORTAGE_RATIO:
         return {}
-    share = max_min_share(list(asked.values()), served)
-    return {team: tokens / share for team, tokens in begun.items() if tokens > share}
+    share = max_min_share(list(demanded.values()), capacity)
+    return {team: tokens / share for team, tokens in served.items() if tokens > share}
 
 
 def max_min_share(demands: list[float], capacity: float) -> float:
-    """Return the max-min share: no demand above it gets more than it."""
+    """Return the max-min fair share; infinity if the capacity covers all demands."""
     left = capacity
     remaining = sorted(demands)
     while remaining:
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -1,4 +1,4 @@
-"""Guards the path of a client's request through the gateway, over real sockets without the kit."""
+"""Tests of a client's request through one gateway, over real sockets to a stand-in platform."""
 
 import asyncio
 import socket
@@ -10,21 +10,21 @@
 from masticward.utils import clocks
 from tests.lib import loops, platform_standins
 
-READ_SECONDS = 10.0
+READ_TIMEOUT_SECONDS = 10.0
 
 
-class Answer:
-    """What a client read: status, headers, body, and whether the answer was whole."""
+class Response:
+    """A response as read by a client; ``complete`` is False if the connection broke off."""
 
-    def __init__(self, status: int, fields: dict[str, str], body: bytes, whole: bool) -> None:
+    def __init__(self, status: int, fields: dict[str, str], body: bytes, complete: bool) -> None:
         self.status = status
         self.headers = fields
         self.body = body
-        self.whole = whole
+        self.complete = complete
 
 
 async def read_chunks(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
-    """Read a chunked body; the second value tells whether its end came."""
+    """Read a chunked body; return it and whether its last chunk was received."""
     body = b""
     while True:
         line = await reader.readline()
@@ -38,7 +38,7 @@
 
 
 class GatewayCase(loops.UvloopTestCase):
-    """Runs a gateway between a client and stand-ins of the platform."""
+    """Runs a gateway between a client and stand-ins for the platform's store and endpoints."""
 
     revoke_ms = 5000
     grace_s = 8
@@ -87,7 +87,7 @@
         await self.wait_until(lambda: len(self.fleet.table.endpoints) == len(self.endpoints))
 
     async def wait_until(self, condition: typing.Callable[[], bool]) -> None:
-        async with asyncio.timeout(READ_SECONDS):
+        async with asyncio.timeout(READ_TIMEOUT_SECONDS):
             while not condition():
                 await asyncio.sleep(0.01)
 
@@ -96,8 +96,8 @@
         writer.write(data)
         return reader, writer
 
-    async def read(self, reader: asyncio.StreamReader) -> Answer:
-        async with asyncio.timeout(READ_SECONDS):
+    async def read(self, reader: asyncio.StreamReader) -> Response:
+        async with asyncio.timeout(READ_TIMEOUT_SECONDS):
             lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
             fields = {
                 name.lower(): value.strip()
@@ -107,11 +107,11 @@
             try:
                 if "content-length" in fields:
                     body = await reader.readexactly(int(fields["content-length"]))
-                    return Answer(status, fields, body, True)
-                body, whole = await read_chunks(reader)
-                return Answer(status, fields, body, whole)
+                    return Response(status, fields, body, True)
+                body, complete = await read_chunks(reader)
+                return Response(status, fields, body, complete)
             except (asyncio.IncompleteReadError, ConnectionError):
-                return Answer(status, fields, b"", False)
+                return Response(status, fields, b"", False)
 
     def request(
         self, route: str, method: str = "POST", body: bytes = b"hello", extra: str = ""
@@ -123,24 +123,26 @@
         )
         return head.encode() + body
 
-    async def ask(self, route: str, **arguments: typing.Any) -> Answer:
+    async def ask(self, route: str, **arguments: typing.Any) -> Response:
         reader, writer = await self.send(self.request(route, **arguments))
         try:
             return await self.read(reader)
         finally:
             writer.close()
 
-    def arrivals(self) -> int:
+    def attempts(self) -> int:
         return sum(len(endpoint.received) for endpoint in self.endpoints)
 
 
-class AnswersTest(GatewayCase):
-    async def test_a_request_reaches_its_endpoint_unchanged_and_its_answer_the_client(self) -> None:
+class ForwardingTest(GatewayCase):
+    """Guards against altered, forged or incomplete requests and responses."""
+
+    async def test_request_and_response_are_forwarded_unchanged(self) -> None:
         endpoint = await self.add_endpoint("e1")
         await self.start()
-        answer = await self.ask("book", extra="X-Other: kept\r\n")
-        self.assertEqual((200, b"answer"), (answer.status, answer.body))
-        self.assertEqual("proof", answer.headers["x-masticward-response-seal"])
+        response = await self.ask("book", extra="X-Other: kept\r\n")
+        self.assertEqual((200, b"answer"), (response.status, response.body))
+        self.assertEqual("proof", response.headers["x-masticward-response-seal"])
         received = endpoint.received[0]
         self.assertEqual(("POST", "/book/x?y=1"), (received.method, received.target))
         self.assertEqual(b"hello", received.body)
@@ -148,7 +150,7 @@
         self.assertEqual("e1", received.headers["x-masticward-expect-instance"])
         self.assertLessEqual(int(received.headers["x-masticward-deadline-ms"]), 3000)
 
-    async def test_a_client_cannot_set_what_the_system_sets(self) -> None:
+    async def test_reserved_headers_of_a_client_are_removed(self) -> None:
         endpoint = await self.add_endpoint("e1")
         await self.start()
         forged = (
@@ -156,24 +158,24 @@
             "X-Masticward-Kv-Backup: 127.0.0.1:1\r\nKv-From: 127.0.0.1:1/h\r\n"
             "Authorization: Bearer key-a\r\n"
         )
-        answer = await self.ask("keyed", extra=forged)
-        self.assertEqual(200, answer.status)
+        response = await self.ask("keyed", extra=forged)
+        self.assertEqual(200, response.status)
         received = endpoint.received[0].headers
         self.assertEqual("team-a", received["x-masticward-tenant"])
         for name in ("x-masticward-hold", "x-masticward-pin-ms", "kv-from", "authorization"):
             self.assertNotIn(name, received)
         self.assertNotIn("x-masticward-kv-backup", received)
 
-    async def test_unknown_keys_and_routes_are_refused_without_a_send(self) -> None:
+    async def test_unknown_keys_and_routes_are_refused_without_an_attempt(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
         self.assertEqual(401, (await self.ask("keyed")).status)
         wrong = "Authorization: Bearer nobody\r\n"
         self.assertEqual(401, (await self.ask("keyed", extra=wrong)).status)
         self.assertEqual(404, (await self.ask("nowhere")).status)
-        self.assertEqual(0, self.arrivals())
+        self.assertEqual(0, self.attempts())
 
-    async def test_a_request_within_another_ones_framing_is_refused(self) -> None:
+    async def test_request_smuggling_by_ambiguous_framing_is_refused(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
         smuggled = self.request("book", extra="X-Masticward-Smuggled: 1\r\n")
@@ -182,17 +184,17 @@
             reader, writer = await self.send(data)
             self.assertEqual(400, (await self.read(reader)).status)
             writer.close()
-        self.assertEqual(0, self.arrivals())
+        self.assertEqual(0, self.attempts())
 
-    async def test_a_torn_request_is_not_passed_on(self) -> None:
+    async def test_a_truncated_request_is_not_forwarded(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
         _, writer = await self.send(self.request("book", body=bytes(1000))[:-10])
         writer.close()
         await asyncio.sleep(0.1)
-        self.assertEqual(0, self.arrivals())
+        self.assertEqual(0, self.attempts())
 
-    async def test_a_body_in_chunks_arrives_whole(self) -> None:
+    async def test_a_chunked_body_is_forwarded_completely(self) -> None:
         endpoint = await self.add_endpoint("e1")
         await self.start()
         head = self.request("book", body=b"").replace(
@@ -206,10 +208,10 @@
         await self.add_endpoint("e1")
         await self.start()
         self.assertEqual(413, (await self.ask("book", body=bytes(100001))).status)
-        self.assertEqual(0, self.arrivals())
+        self.assertEqual(0, self.attempts())
 
-    async def test_after_a_dropped_connection_only_shorter_rests_are_trusted(self) -> None:
-        # An endpoint that drops idle connections without notice resets what is sent next on them.
+    async def test_after_a_dropped_connection_idle_ones_are_trusted_for_less_time(self) -> None:
+        # An endpoint that silently drops idle connections resets the next request on each of them.
         used: set[asyncio.StreamWriter] = set()
 
         async def drop_after_one(
@@ -230,7 +232,7 @@
         await asyncio.sleep(0.4)
         self.assertEqual(200, (await self.ask("book")).status)
 
-    async def test_kept_connections_serve_request_after_request(self) -> None:
+    async def test_persistent_connections_serve_several_requests(self) -> None:
         endpoint = await self.add_endpoint("e1")
         await self.start()
         reader, writer = await self.send(self.request("book") + self.request("book"))
@@ -242,39 +244,41 @@
 
 
 class AtMostOnceTest(GatewayCase):
-    async def test_a_broken_call_that_must_not_be_repeated_gets_502_and_no_second_send(
+    """Guards against a second execution of requests that must run at most once."""
+
+    async def test_a_broken_non_idempotent_request_gets_502_without_a_retry(
         self,
     ) -> None:
         for name in ("e1", "e2"):
             await self.add_endpoint(name, platform_standins.close_without_response)
         await self.start()
-        answer = await self.ask("book")
-        self.assertEqual(502, answer.status)
-        self.assertNotIn("retry-after", answer.headers)
-        self.assertEqual(1, self.arrivals())
+        response = await self.ask("book")
+        self.assertEqual(502, response.status)
+        self.assertNotIn("retry-after", response.headers)
+        self.assertEqual(1, self.attempts())
 
-    async def test_an_idempotent_call_is_repeated_at_another_endpoint(self) -> None:
+    async def test_an_idempotent_request_is_retried_at_another_endpoint(self) -> None:
         await self.add_endpoint("e1", platform_standins.close_without_response)
         await self.add_endpoint("e2", platform_standins.close_without_response)
         await self.start()
-        answer = await self.ask("status", method="GET", body=b"")
-        self.assertEqual(502, answer.status)
+        response = await self.ask("status", method="GET", body=b"")
+        self.assertEqual(502, response.status)
         self.assertEqual([1, 1], [len(endpoint.received) for endpoint in self.endpoints])
 
-    async def test_a_call_that_did_not_run_goes_to_another_endpoint(self) -> None:
+    async def test_a_request_that_did_not_run_goes_to_another_endpoint(self) -> None:
         shedding = await self.add_endpoint("e1", platform_standins.shed_request)
         await self.add_endpoint("e2", platform_standins.shed_request)
         await self.start()
-        answer = await self.ask("book")
-        self.assertEqual(503, answer.status)
-        self.assertIn("retry-after", answer.headers)
-        self.assertEqual(2, self.arrivals())
+        response = await self.ask("book")
+        self.assertEqual(503, response.status)
+        self.assertIn("retry-after", response.headers)
+        self.assertEqual(2, self.attempts())
         shedding.behaviour = platform_standins.send_complete_response
         await asyncio.sleep(0.5)
         self.assertEqual(200, (await self.ask("book")).status)
 
-    async def test_an_answer_to_another_request_is_dropped(self) -> None:
-        async def stray_first(
+    async def test_a_response_to_another_request_is_dropped(self) -> None:
+        async def other_response_first(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
             other = platform_standins.ReceivedRequest(b"POST / HTTP/1.1\r\n", b"")
@@ -283,25 +287,25 @@
             writer.write(platform_standins.complete_response(request, b"right"))
             return True
 
-        await self.add_endpoint("e1", stray_first)
+        await self.add_endpoint("e1", other_response_first)
         await self.start()
-        answer = await self.ask("book")
-        self.assertEqual((200, b"right"), (answer.status, answer.body))
+        response = await self.ask("book")
+        self.assertEqual((200, b"right"), (response.status, response.body))
 
-    async def test_bytes_after_an_answer_do_not_reach_the_next_client(self) -> None:
-        async def doubled(
+    async def test_bytes_after_a_response_do_not_reach_the_next_client(self) -> None:
+        async def send_twice(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
             writer.write(platform_standins.complete_response(request, b"first") * 2)
             return True
 
-        endpoint = await self.add_endpoint("e1", doubled)
+        endpoint = await self.add_endpoint("e1", send_twice)
         await self.start()
         self.assertEqual(b"first", (await self.ask("book")).body)
         endpoint.behaviour = platform_standins.send_complete_response
         self.assertEqual(b"answer", (await self.ask("book")).body)
 
-    async def test_an_unproven_success_is_not_passed_on(self) -> None:
+    async def test_a_success_without_proof_is_not_forwarded(self) -> None:
         async def unproven(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
@@ -312,15 +316,15 @@
         await self.start()
         self.assertEqual(502, (await self.ask("book")).status)
 
-    async def test_an_early_answer_to_a_long_body_is_passed_on(self) -> None:
+    async def test_an_early_response_to_a_long_body_is_forwarded(self) -> None:
         class Early(platform_standins.EndpointStandin):
             async def early_response(
                 self, request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
             ) -> bool:
-                answer = platform_standins.complete_response(request).replace(
+                response = platform_standins.complete_response(request).replace(
                     b"200 OK", b"413 Large"
                 )
-                writer.write(answer)
+                writer.write(response)
                 await writer.drain()
                 await asyncio.sleep(0.2)
                 return True
@@ -335,7 +339,9 @@
 
 
 class StreamTest(GatewayCase):
-    async def stream(self, first: bytes, whole: bool) -> platform_standins.Behaviour:
+    """Guards against broken streams that look complete or resume at the wrong event."""
+
+    async def stream(self, first: bytes, complete: bool) -> platform_standins.Behaviour:
         async def behaviour(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
@@ -347,7 +353,7 @@
             writer.write(head.encode())
             events = first if not after else b"id: 3\ndata: c\n\n"
             writer.write(f"{len(events):x}\r\n".encode() + events + b"\r\n")
-            if whole or after:
+            if complete or after:
                 writer.write(b"0\r\n\r\n")
                 return True
             await writer.drain()
@@ -355,40 +361,42 @@
 
         return behaviour
 
-    async def test_a_stream_that_breaks_off_does_not_look_complete(self) -> None:
+    async def test_a_broken_stream_does_not_look_complete(self) -> None:
         await self.add_endpoint("e1", await self.stream(b"id: 1\ndata: a\n\n", False))
         await self.start()
-        answer = await self.ask("stream")
-        self.assertEqual(200, answer.status)
-        self.assertFalse(answer.whole)
-        self.assertEqual(1, self.arrivals())
+        response = await self.ask("stream")
+        self.assertEqual(200, response.status)
+        self.assertFalse(response.complete)
+        self.assertEqual(1, self.attempts())
 
     async def test_a_resumable_stream_without_another_endpoint_is_cut(self) -> None:
-        # A refusal cannot be written once the head of the answer is out.
+        # A refusal cannot be sent after the response headers.
         await self.add_endpoint("e1", await self.stream(b"id: 1\ndata: a\n\n", False))
         await self.start()
-        answer = await self.ask("resume")
-        self.assertEqual((200, False), (answer.status, answer.whole))
+        response = await self.ask("resume")
+        self.assertEqual((200, False), (response.status, response.complete))
         cut = self.program.meters.requests.labels("cut by endpoint", "0")._value.get()
         self.assertEqual(1, cut)
 
-    async def test_a_resumable_stream_goes_on_at_another_endpoint(self) -> None:
-        torn = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"
+    async def test_a_resumable_stream_continues_at_another_endpoint(self) -> None:
+        truncated_events = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"
         for name in ("e1", "e2"):
-            await self.add_endpoint(name, await self.stream(torn, False))
+            await self.add_endpoint(name, await self.stream(truncated_events, False))
         await self.start()
-        answer = await self.ask("resume")
-        self.assertTrue(answer.whole)
+        response = await self.ask("resume")
+        self.assertTrue(response.complete)
         expected = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
-        self.assertEqual(expected, answer.body)
+        self.assertEqual(expected, response.body)
         second = next(
             e.received[0] for e in self.endpoints if "last-event-id" in e.received[0].headers
         )
         self.assertEqual("2", second.headers["last-event-id"])
 
 
-class TimeTest(GatewayCase):
-    async def test_a_client_that_leaves_frees_its_endpoint(self) -> None:
+class TimeoutTest(GatewayCase):
+    """Guards against requests that outlive their client, route timeout or gateway."""
+
+    async def test_a_client_disconnect_frees_the_endpoint(self) -> None:
         endpoint = await self.add_endpoint("e1", platform_standins.never_respond)
         await self.start()
         _, writer = await self.send(self.request("book"))
@@ -397,14 +405,14 @@
         await self.wait_until(lambda: endpoint.open_connections == 0)
         self.assertEqual({}, dict(self.fleet.loads.own))
 
-    async def test_a_silent_endpoint_does_not_hold_what_may_run_again(self) -> None:
-        # Endpoints that run a request and lose its answer stay silent on an open connection.
+    async def test_a_retryable_request_leaves_a_silent_endpoint(self) -> None:
+        # An endpoint that ran a request and lost its response stays silent on an open connection.
         for name in ("e1", "e2"):
             await self.add_endpoint(name, platform_standins.never_respond)
         await self.start()
         started = clocks.boot_time()
         reading = asyncio.ensure_future(self.ask("status", method="GET", body=b""))
-        await self.wait_until(lambda: self.arrivals() == 1)
+        await self.wait_until(lambda: self.attempts() == 1)
         silent = next(endpoint for endpoint in self.endpoints if endpoint.received)
         other = next(endpoint for endpoint in self.endpoints if not endpoint.received)
         other.behaviour = platform_standins.send_complete_response
@@ -412,15 +420,15 @@
         self.assertLess(clocks.boot_time() - started, 2.0)
         await self.wait_until(lambda: silent.open_connections == 0)
 
-    async def test_a_silent_endpoint_keeps_what_must_not_run_again(self) -> None:
+    async def test_a_non_idempotent_request_stays_at_a_silent_endpoint(self) -> None:
         for name in ("e1", "e2"):
             await self.add_endpoint(name, platform_standins.never_respond)
         await self.start()
         self.assertEqual(504, (await self.ask("book")).status)
-        self.assertEqual(1, self.arrivals())
+        self.assertEqual(1, self.attempts())
 
-    async def test_a_request_whose_client_left_before_it_was_read_is_not_sent(self) -> None:
-        # A busy process finds the request and the client's close at the same moment.
+    async def test_a_request_of_a_disconnected_client_is_not_forwarded(self) -> None:
+        # A busy process reads the request and the client's close at the same time.
         await self.add_endpoint("e1")
         await self.start()
         reader, writer = await self.send(self.request("book"))
@@ -430,23 +438,23 @@
         client.close()
         time.sleep(0.05)
         await asyncio.sleep(0.3)
-        self.assertEqual(1, self.arrivals())
+        self.assertEqual(1, self.attempts())
         writer.close()
 
-    async def test_the_timeout_of_a_route_gets_a_final_answer(self) -> None:
+    async def test_a_route_timeout_gets_504(self) -> None:
         await self.add_endpoint("e1", platform_standins.never_respond)
         await self.start()
         started = clocks.boot_time()
         self.assertEqual(504, (await self.ask("short")).status)
         self.assertLess(clocks.boot_time() - started, 0.3 + 0.5)
 
-    async def test_without_an_endpoint_a_request_is_refused_as_not_run(self) -> None:
+    async def test_without_an_endpoint_a_request_gets_503_with_retry_after(self) -> None:
         await self.start()
-        answer = await self.ask("book")
-        self.assertEqual(503, answer.status)
-        self.assertGreater(float(answer.headers["retry-after"]), 0.0)
+        response = await self.ask("book")
+        self.assertEqual(503, response.status)
+        self.assertGreater(float(response.headers["retry-after"]), 0.0)
 
-    async def test_a_stopping_gateway_cuts_no_request(self) -> None:
+    async def test_a_stopping_gateway_finishes_open_requests(self) -> None:
         async def slow(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
@@ -458,17 +466,19 @@
         reader, _ = await self.send(self.request("book"))
         await self.wait_until(lambda: len(endpoint.received) == 1)
         stopping = asyncio.ensure_future(self.program.stop())
-        answer = await self.read(reader)
-        self.assertEqual(200, answer.status)
-        self.assertEqual("close", answer.headers["connection"])
+        response = await self.read(reader)
+        self.assertEqual(200, response.status)
+        self.assertEqual("close", response.headers["connection"])
         self.assertFalse(self.program.ready())
         await stopping
 
 
 class ConfigurationTest(GatewayCase):
+    """Guards against the use of revoked API keys, and of old or invalid configurations."""
+
     revoke_ms = 1200
 
-    async def test_without_a_configuration_the_answer_is_503(self) -> None:
+    async def test_without_a_configuration_a_request_gets_503(self) -> None:
         await self.program.start()
         listener = self.program.client_server.listener
         assert listener is not None
@@ -476,7 +486,7 @@
         self.assertEqual(503, (await self.ask("keyed")).status)
         self.assertFalse(self.program.ready())
 
-    async def test_keys_that_cannot_be_proven_are_not_used(self) -> None:
+    async def test_api_keys_without_a_recent_proof_are_not_used(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
         key = "Authorization: Bearer key-a\r\n"
@@ -487,14 +497,14 @@
         self.assertEqual(503, (await self.ask("keyed", extra=key)).status)
         self.assertEqual(200, (await self.ask("book")).status)
 
-    async def test_a_key_that_is_taken_away_stops_working(self) -> None:
+    async def test_a_revoked_api_key_is_refused(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
         changed = platform_standins.configuration(2, tenants=[{"name": "team-a", "api_keys": []}])
         self.store.put("config", "main", changed)
         await self.wait_until(lambda: self.fleet.configuration.version == 2)  # type: ignore[union-attr]
-        answer = await self.ask("keyed", extra="Authorization: Bearer key-a\r\n")
-        self.assertEqual(401, answer.status)
+        response = await self.ask("keyed", extra="Authorization: Bearer key-a\r\n")
+        self.assertEqual(401, response.status)
 
     async def test_an_older_configuration_is_ignored(self) -> None:
         await self.start(version=5)
@@ -507,7 +517,7 @@
         await self.wait_until(lambda: "marker" in self.fleet.table.endpoints)
         self.assertEqual(6, self.fleet.configuration.version)  # type: ignore[union-attr]
 
-    async def test_a_configuration_that_cannot_be_read_leaves_the_last_one_in_force(self) -> None:
+    async def test_an_invalid_configuration_keeps_the_last_valid_one(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
         self.store.put("config", "main", {"version": "two", "routes": 7})
@@ -517,13 +527,13 @@
         self.assertNotIn("odd", self.fleet.table.endpoints)
         self.assertEqual(1, self.fleet.configuration.version)  # type: ignore[union-attr]
 
-    async def test_a_forgotten_history_is_read_again_as_a_whole(self) -> None:
+    async def test_objects_are_listed_again_after_lost_history(self) -> None:
         await self.start()
         self.store.oldest_revision = 10**9
         self.store.put("config", "main", platform_standins.configuration(2))
         await self.wait_until(lambda: self.fleet.configuration.version == 2)  # type: ignore[union-attr]
 
-    async def test_settings_that_cannot_be_read_leave_those_in_force(self) -> None:
+    async def test_invalid_settings_keep_the_current_ones(self) -> None:
         await self.start()
         good = self.settings_text
         self.settings_text = "node: 7\n"
@@ -533,7 +543,7 @@
         self.program.reload()
         self.assertEqual(3.0, self.fleet.settings.bounds.revoke_seconds)
 
-    async def test_a_watch_that_hangs_is_left_when_peers_know_another_listing(self) -> None:
+    async def test_relisting_abandons_a_hanging_watch(self) -> None:
         await self.add_endpoint("e1")
         self.store.hanging_watches = {"servers"}
         await self.start()
@@ -543,7 +553,7 @@
         self.program.relist()
         await self.wait_until(lambda: self.fleet.table.endpoints["e1"].draining)
 
-    async def test_a_configuration_comes_although_its_watch_hangs(self) -> None:
+    async def test_a_configuration_arrives_although_its_watch_hangs(self) -> None:
         self.store.hanging_watches = {"config"}
         await self.start()
         self.store.put("config", "main", platform_standins.configuration(2))
--- a/tests/functional/test_gateway_start.py
+++ b/tests/functional/test_gateway_start.py
@@ -1,4 +1,4 @@
-"""Guards the gateway's start script against a signal that comes while it imports."""
+"""Guards against a reload signal that ends the gateway while its start script imports modules."""
 
 import pathlib
 import subprocess
@@ -6,7 +6,7 @@
 import unittest
 
 SCRIPT = pathlib.Path(__file__).resolve().parents[2] / "deploy" / "gateway.py"
-# Runs the script up to its first import of the package, and tells what SIGHUP would do then.
+# Runs the script up to its first import of the package and prints whether SIGHUP is ignored then.
 PROBE = f"""
 import builtins, runpy, signal
 plain_import = builtins.__import__
@@ -20,9 +20,9 @@
 """
 
 
-class StartTest(unittest.TestCase):
+class GatewayStartTest(unittest.TestCase):
     def test_a_reload_signal_during_the_imports_does_not_end_the_process(self) -> None:
-        found = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", PROBE], capture_output=True, text=True, timeout=30, check=True
         )
-        self.assertEqual("True", found.stdout.strip())
+        self.assertEqual("True", result.stdout.strip())
--- a/tests/lib/platform_standins.py
+++ b/tests/lib/platform_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' platform: a store and endpoints that answer as a test tells them."""
+"""Stand-ins for the deployment platform: a store and endpoints with scripted behaviour."""
 
 import asyncio
 import collections.abc
@@ -10,7 +10,7 @@
 
 
 class ReceivedRequest:
-    """One request as an endpoint got it."""
+    """A request as received by an endpoint."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         lines = head.decode("latin-1").split("\r\n")
@@ -23,7 +23,7 @@
 
     @property
     def request_id(self) -> str:
-        """The id that the answer echoes."""
+        """The request ID, which a response echoes."""
         return self.headers.get("x-masticward-request-id", "")
 
 
@@ -41,18 +41,18 @@
         self.open_connections = 0
 
     async def start(self) -> None:
-        """Open the port."""
+        """Open a listener on a free port and set ``address``."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Close the port."""
+        """Close the listener."""
         if self.server is not None:
             self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until it ends or a request's answer ends it."""
+        """Serve one connection until the client or a response closes it."""
         self.open_connections += 1
         try:
             while True:
@@ -76,27 +76,30 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Answer a request; an answer that has not begun ends when the caller leaves."""
-        work = asyncio.ensure_future(self.handle(request, writer))
-        gone = asyncio.ensure_future(reader.read(1))
-        await asyncio.wait([work, gone], return_when=asyncio.FIRST_COMPLETED)
-        left = not work.done()
-        (work if left else gone).cancel()
-        # A reset by the caller ends the watching read with an error, which is no failure here.
-        await asyncio.gather(work, gone, return_exceptions=True)
-        return False if left else work.result()
+        """Handle a request, and cancel this when the client disconnects.
+
+        Return whether the connection stays open.
+        """
+        handling = asyncio.ensure_future(self.handle(request, writer))
+        disconnect = asyncio.ensure_future(reader.read(1))
+        await asyncio.wait([handling, disconnect], return_when=asyncio.FIRST_COMPLETED)
+        disconnected = not handling.done()
+        (handling if disconnected else disconnect).cancel()
+        # A reset by the client makes the read fail, which is not an error here.
+        await asyncio.gather(handling, disconnect, return_exceptions=True)
+        return False if disconnected else handling.result()
 
     async def early_response(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        """Answer before the body has come; returns whether it did."""
+        """Respond before the body has arrived; return whether a response was sent."""
         return False
 
     async def handle(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; returns whether the connection stays open."""
+        """Handle one request; return whether the connection stays open."""
         raise NotImplementedError
 
 
 class EndpointStandin(SocketServer):
-    """An endpoint whose behaviour a test sets."""
+    """An endpoint with a behaviour that the test sets. It records the received requests."""
 
     def __init__(self, behaviour: Behaviour | None = None) -> None:
         super().__init__()
@@ -104,13 +107,13 @@
         self.behaviour = behaviour or send_complete_response
 
     async def handle(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request."""
+        """Record a request and run the behaviour."""
         self.received.append(request)
         return await self.behaviour(request, writer)
 
 
 def complete_response(request: ReceivedRequest, body: bytes = b"answer", extra: str = "") -> bytes:
-    """Return the bytes of a whole answer with its proof."""
+    """Return the bytes of a complete response with its proof."""
     head = (
         f"HTTP/1.1 200 OK\r\nX-Masticward-Request-Id: {request.request_id}\r\n{PROOF}{extra}"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -119,18 +122,18 @@
 
 
 async def send_complete_response(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-    """Answer a request as a sound endpoint."""
+    """Respond as a healthy endpoint."""
     writer.write(complete_response(request))
     return True
 
 
 async def close_without_response(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-    """Close the connection without an answer."""
+    """Close the connection without a response."""
     return False
 
 
 async def shed_request(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-    """Refuse a request as not run."""
+    """Refuse a request as not executed."""
     writer.write(
         b"HTTP/1.1 503 Service Unavailable\r\nX-Masticward-Not-Executed: 1\r\n"
         b"Content-Length: 0\r\n\r\n"
@@ -139,13 +142,13 @@
 
 
 async def never_respond(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-    """Keep a request without an answer."""
+    """Hold a request without a response."""
     await asyncio.sleep(60.0)
     return False
 
 
 class StoreStandin(SocketServer):
-    """The platform's store: kinds of objects, a revision, listings and watches."""
+    """The platform's store: objects by kind and name, with a revision, listings and watches."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -154,13 +157,13 @@
         self.revision = 1
         self.changed = asyncio.Event()
         self.unavailable = False
-        # Watches of these kinds hang: the connection stays open and nothing comes.
+        # Watches of these kinds keep their connection open without a response.
         self.hanging_watches: set[str] = set()
         self.oldest_revision = 0
         self.calls: list[str] = []
 
     def put(self, kind: str, name: str, spec: typing.Any) -> None:
-        """Write an object as the operator or an endpoint does."""
+        """Create or replace an object, as an operator or an endpoint does."""
         self.revision += 1
         item = {"metadata": {"name": name, "revision": self.revision}, "spec": spec}
         self.objects[kind, name] = item
@@ -177,7 +180,7 @@
         self.changed = asyncio.Event()
 
     def put_endpoint(self, name: str, address: str, **changes: typing.Any) -> None:
-        """Write an endpoint's entry."""
+        """Create or replace an endpoint's registration."""
         entry = {
             "service": "app",
             "address": address,
@@ -190,7 +193,7 @@
         self.put("servers", name, {**entry, **changes})
 
     async def handle(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        """Answer one call."""
+        """Handle one call."""
         self.calls.append(f"{request.method} {request.target}")
         if self.unavailable:
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -201,7 +204,7 @@
         return True
 
     async def respond(self, request: ReceivedRequest) -> tuple[int, typing.Any]:
-        """Return status and body of a call."""
+        """Return the status and body for a call."""
         parts = urllib.parse.urlsplit(request.target)
         kind = parts.path.split("/")[2]
         query = dict(urllib.parse.parse_qsl(parts.query))
@@ -217,7 +220,7 @@
         return 200, {"items": items, "has_more": False, "current_rev": self.revision}
 
     async def watch(self, kind: str, revision: int, wait: float) -> tuple[int, typing.Any]:
-        """Return the changes after a revision."""
+        """Return status and body of a watch: the changes after a revision."""
         if revision < self.oldest_revision:
             return 410, {}
         deadline = asyncio.get_running_loop().time() + wait
@@ -228,18 +231,18 @@
                 for number, item_kind, item, removed in self.history
                 if number > revision and item_kind == kind
             ]
-            left = deadline - asyncio.get_running_loop().time()
-            if found or left <= 0:
+            remaining = deadline - asyncio.get_running_loop().time()
+            if found or remaining <= 0:
                 return 200, {"events": found, "current_rev": self.revision}
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await changed.wait()
             except TimeoutError:
                 continue
 
 
 def configuration(version: int = 1, **changes: typing.Any) -> dict[str, typing.Any]:
-    """Return a configuration in the platform's form."""
+    """Return a configuration document of the platform."""
 
     def route(name: str, kind: str, **more: typing.Any) -> dict[str, typing.Any]:
         return {
--- a/tests/unit/test_gateway_state.py
+++ b/tests/unit/test_gateway_state.py
@@ -1,4 +1,4 @@
-"""Guards the gateway's decisions that need no network."""
+"""Tests of the gateway's placement, health, retry and fairness state, without a network."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """Guards against prompts that are read again, and against engines that are overloaded."""
+    """Guards against recomputed shared prefixes and overloaded engines."""
 
     def setUp(self) -> None:
         self.view = make_view()
@@ -50,14 +50,14 @@
         assert choice is not None
         return choice
 
-    def test_gateways_that_know_nothing_agree_on_the_engine_of_a_shared_part(self) -> None:
+    def test_gateways_without_state_choose_the_same_engine_for_a_shared_prefix(self) -> None:
         first = [self.choose(f"doc-{number}").endpoint.id for number in range(50)]
         self.view = make_view()
         self.engines.reverse()
         self.assertEqual(first, [self.choose(f"doc-{number}").endpoint.id for number in range(50)])
         self.assertEqual(5, len(set(first)))
 
-    def test_a_request_goes_where_its_shared_part_was_read(self) -> None:
+    def test_a_request_goes_to_the_engine_that_caches_its_shared_prefix(self) -> None:
         owner = self.choose("doc").endpoint.id
         other = next(item.id for item in self.engines if item.id != owner)
         terms = builders.make_terms("before")
@@ -67,12 +67,12 @@
         self.assertEqual(other, choice.endpoint.id)
         self.assertEqual(3_700, choice.unread_tokens)
 
-    def test_a_hot_shared_part_spills_when_its_engine_has_much_unread(self) -> None:
+    def test_a_shared_prefix_spills_over_when_its_owner_has_a_long_backlog(self) -> None:
         owner = self.choose("doc").endpoint.id
         self.view.loads.start_request(owner, 200_000, 200_000)
         self.assertNotEqual(owner, self.choose("doc").endpoint.id)
 
-    def test_a_request_that_has_waited_takes_another_engine_than_its_owner(self) -> None:
+    def test_a_request_that_has_waited_takes_an_idle_engine_instead_of_the_owner(self) -> None:
         owner = self.choose("doc").endpoint.id
         cache = self.view.caches.get(owner, builders.CACHE_TOKENS)
         cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms("before").parts))
@@ -80,8 +80,8 @@
         self.assertEqual(owner, self.choose("doc").endpoint.id)
         self.assertNotEqual(owner, self.choose("doc", waited=0.4).endpoint.id)
 
-    def test_while_all_engines_are_busy_a_shared_part_is_not_read_again(self) -> None:
-        # Everyone above capacity: reading a part twice takes the time of other requests.
+    def test_a_shared_prefix_is_not_recomputed_while_all_engines_are_busy(self) -> None:
+        # Above capacity, recomputing a prefix takes engine time from other requests.
         owner = self.choose("doc").endpoint.id
         cache = self.view.caches.get(owner, builders.CACHE_TOKENS)
         cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms("before").parts))
@@ -90,12 +90,12 @@
         self.view.loads.start_request(owner, 20_000, 20_000)
         self.assertEqual(owner, self.choose("doc", waited=0.4).endpoint.id)
 
-    def test_an_engine_with_a_full_window_gets_nothing_more(self) -> None:
+    def test_an_engine_with_a_full_prefill_window_has_no_capacity(self) -> None:
         for engine in self.engines:
             self.view.loads.start_request(engine.id, 100_000, 100_000)
         self.assertFalse(self.choose("doc").has_capacity)
 
-    def test_where_no_engine_has_room_no_choice_is_allowed(self) -> None:
+    def test_any_has_capacity_agrees_with_the_choice_of_an_engine(self) -> None:
         assert self.engine is not None
         for unread in (0, 9_000, 17_000, 18_000):
             self.view = make_view()
@@ -107,7 +107,7 @@
             if not room:
                 self.assertFalse(self.choose("doc").has_capacity)
 
-    def test_an_idle_engine_takes_any_request(self) -> None:
+    def test_an_idle_engine_accepts_any_request(self) -> None:
         self.engines = self.engines[:1]
         self.assertTrue(self.choose("doc").has_capacity)
 
@@ -117,7 +117,7 @@
             self.view.health.record_failure(owner, 0.0)
         self.assertNotEqual(owner, self.choose("doc").endpoint.id)
 
-    def test_peers_loads_count_until_they_are_old(self) -> None:
+    def test_peer_loads_count_until_they_are_stale(self) -> None:
         owner = self.choose("doc").endpoint.id
         loads = {owner: load_table.EndpointLoad(200_000, 10, 200_000)}
         self.view.loads.set_peer_loads("g2", loads, 0.0)
@@ -127,32 +127,32 @@
         self.assertEqual({}, dict(self.view.loads.peer_totals))
 
 
-class SlownessTest(unittest.TestCase):
-    """Guards against a slowness that settles beside the true factor."""
+class EndpointHealthTest(unittest.TestCase):
+    """Guards against a slowness that does not converge to the measured factor."""
 
-    def test_slowness_settles_at_the_measured_factor(self) -> None:
-        book = endpoint_health.HealthTracker()
+    def test_slowness_converges_to_the_measured_factor(self) -> None:
+        health = endpoint_health.HealthTracker()
         for _ in range(100):
-            book.record_latency("e", 2.0 + endpoint_health.LATENCY_TOLERANCE_SECONDS, 0.5, 0.0)
-        self.assertAlmostEqual(4.0, book.get("e", 0.0).slowness, places=2)
+            health.record_latency("e", 2.0 + endpoint_health.LATENCY_TOLERANCE_SECONDS, 0.5, 0.0)
+        self.assertAlmostEqual(4.0, health.get("e", 0.0).slowness, places=2)
 
-    def test_short_delays_of_sound_engines_do_not_count_as_slowness(self) -> None:
-        # Each gateway sees few requests at each engine and would prefer others by chance.
-        book = endpoint_health.HealthTracker()
+    def test_short_delays_of_healthy_engines_do_not_count_as_slowness(self) -> None:
+        # Each gateway sees few requests per engine, so random delays would change its choice.
+        health = endpoint_health.HealthTracker()
         for measured in (0.03, 0.09, 0.05, 0.12):
-            book.record_latency("e", measured, 0.02, 0.0)
-        self.assertLess(book.get("e", 0.0).slowness, 1.05)
+            health.record_latency("e", measured, 0.02, 0.0)
+        self.assertLess(health.get("e", 0.0).slowness, 1.05)
 
-    def test_a_sound_endpoint_is_used_again_after_failures(self) -> None:
-        book = endpoint_health.HealthTracker()
+    def test_the_failure_ratio_decays_after_failures(self) -> None:
+        health = endpoint_health.HealthTracker()
         for _ in range(5):
-            book.record_failure("e", 0.0)
-        self.assertGreater(book.failure_ratio("e", 0.0), 0.5)
-        self.assertLess(book.failure_ratio("e", 20.0), 0.05)
+            health.record_failure("e", 0.0)
+        self.assertGreater(health.failure_ratio("e", 0.0), 0.5)
+        self.assertLess(health.failure_ratio("e", 20.0), 0.05)
 
 
 class EndpointTableTest(unittest.TestCase):
-    """Guards against work for endpoints that leave, and against losing sound ones."""
+    """Guards against requests to departing endpoints and against losing healthy endpoints."""
 
     def setUp(self) -> None:
         self.table = endpoint_table.EndpointTable()
@@ -162,15 +162,15 @@
     def usable(self, now: float) -> list[str]:
         return [item.id for item in self.table.usable("llm", now)]
 
-    def test_a_draining_endpoint_gets_nothing(self) -> None:
+    def test_a_draining_endpoint_is_not_usable(self) -> None:
         self.table.apply([("e1", builders.make_endpoint("e1", draining=True))], False, 10.0)
         self.assertEqual([], self.usable(10.0))
 
-    def test_a_removed_endpoint_gets_nothing(self) -> None:
+    def test_a_removed_endpoint_is_not_usable(self) -> None:
         self.table.apply([("e1", None)], False, 10.0)
         self.assertEqual([], self.usable(10.0))
 
-    def test_an_endpoint_missing_after_an_outage_stays_for_the_grace(self) -> None:
+    def test_an_endpoint_missing_after_a_store_outage_stays_for_the_grace_period(self) -> None:
         self.table.start_relist_grace(10.0)
         self.table.apply([], True, 10.1)
         self.assertEqual(["e1"], self.usable(11.9))
@@ -179,14 +179,14 @@
         self.assertEqual([], self.usable(12.1))
         self.assertEqual(["gone"], [change.state for change in changes])
 
-    def test_an_endpoint_listed_again_within_the_grace_stays(self) -> None:
+    def test_an_endpoint_listed_again_within_the_grace_period_stays(self) -> None:
         self.table.start_relist_grace(10.0)
         self.table.apply([], True, 10.1)
         self.table.apply([("e1", self.endpoint)], False, 11.0)
         self.table.remove_expired(20.0, [])
         self.assertEqual(["e1"], self.usable(20.0))
 
-    def test_a_zone_that_is_out_gets_nothing_and_is_cold_when_back(self) -> None:
+    def test_endpoints_of_an_out_zone_are_not_usable_and_cold_when_it_returns(self) -> None:
         services = builders.make_configuration().services
         self.table.set_out_zones({"z1"}, 10.0, services)
         self.assertEqual([], self.usable(10.0))
@@ -194,21 +194,21 @@
         self.assertEqual(["e1"], self.usable(20.0))
         self.assertEqual(23.0, self.table.cold_until(self.endpoint))
 
-    def test_an_unreadable_object_names_no_endpoint(self) -> None:
+    def test_an_invalid_object_adds_no_endpoint(self) -> None:
         self.table.apply([("e1", None), ("x", None)], False, 10.0)
         self.assertEqual({}, self.table.endpoints)
 
 
 class IdleConnectionsTest(unittest.TestCase):
-    """Guards against idle connections that take the places of requests."""
+    """Guards against idle connections that use up an endpoint's connection limit."""
 
-    def test_a_drop_of_days_ago_is_forgiven(self) -> None:
-        # Doubling without a limit overflowed 2.8 hours after a dropped connection.
+    def test_idle_connections_are_trusted_again_days_after_a_drop(self) -> None:
+        # Unlimited doubling of the trusted time overflowed 2.8 hours after a dropped connection.
         pool = calls.ConnectionPool(builders.make_fleet())
         pool.trust["llm"] = calls.IdleTrust(calls.SHORTEST_TRUST_SECONDS, 0.0)
         self.assertGreater(pool.trusted_seconds("llm", 1e6), calls.LONGEST_KEEP_SECONDS)
 
-    def test_all_gateways_keep_at_most_half_of_what_an_endpoint_accepts(self) -> None:
+    def test_all_gateways_keep_at_most_half_of_an_endpoint_s_connections(self) -> None:
         fleet = builders.make_fleet()
         pool = calls.ConnectionPool(fleet)
         self.assertEqual(calls.KEPT_CONNECTIONS, pool.most_kept("llm"))
@@ -218,8 +218,8 @@
         self.assertEqual(1, pool.most_kept("llm"))
 
 
-class RepeatBudgetTest(unittest.TestCase):
-    """Guards the fleet's bound on repeated sends, whatever each gateway knows of the others."""
+class WindowedRetryBudgetTest(unittest.TestCase):
+    """Guards the fleet-wide bound on retries, regardless of what gateways know of each other."""
 
     @given(
         gateways=st.integers(1, 12),
@@ -256,8 +256,8 @@
             self.assertLessEqual(in_window, allowed)
 
 
-class ColdPaceTest(unittest.TestCase):
-    """Guards the fleet's bound on requests to a cold endpoint."""
+class ColdStartLimiterTest(unittest.TestCase):
+    """Guards the fleet-wide rate limit for a cold endpoint."""
 
     @given(gateways=st.integers(1, 30), offsets=st.lists(st.floats(0.0, 2.0), max_size=200))
     def test_all_gateways_together_stay_below_the_bound(
@@ -265,52 +265,52 @@
     ) -> None:
         bounds = builders.make_bounds()
         names = [f"g{number}" for number in range(gateways)]
-        paces = {name: cold_start.ColdStartLimiter() for name in names}
+        limiters = {name: cold_start.ColdStartLimiter() for name in names}
         rate = 8.0
         sent: list[float] = []
         for now in sorted(offsets):
-            for name, pace in paces.items():
-                if pace.may_send("e", rate, name, names, now):
-                    pace.record_send("e", rate, gateways, now)
+            for name, limiter in limiters.items():
+                if limiter.may_send("e", rate, name, names, now):
+                    limiter.record_send("e", rate, gateways, now)
                     sent.append(now)
         most = rate * bounds.cold_overage + bounds.cold_slack
         for start in sent:
             self.assertLessEqual(sum(1 for time in sent if start <= time < start + 1.0), most)
 
-    def test_a_minority_of_gateways_sends_to_a_cold_endpoint(self) -> None:
+    def test_a_limited_number_of_gateways_sends_to_a_cold_endpoint(self) -> None:
         names = [f"g{number}" for number in range(25)]
         self.assertEqual(cold_start.MAX_SENDERS, len(cold_start.senders("e", names)))
 
 
 class TeamUsageTest(unittest.TestCase):
-    """Guards against a team that is served twice its share because peers are not counted."""
+    """Guards against a team that exceeds its share because peers' usage is not counted."""
 
-    def test_peers_tokens_count_and_decay(self) -> None:
+    def test_peer_tokens_count_and_decay(self) -> None:
         usage = team_usage.TeamUsage()
         usage.record("a", 1000, 10.0)
         usage.set_peer_usage("g2", {"a": 500.0}, 10.0)
         self.assertAlmostEqual(1500.0, usage.team_total("a", 10.0))
         self.assertLess(usage.team_total("a", 14.0), 600.0)
 
-    def test_nobody_is_above_the_share_while_all_that_was_asked_is_served(self) -> None:
-        figures = {"flood": 1_000_000.0, "small": 1_000.0}
-        self.assertEqual({}, team_usage.excess_over_share(figures, figures))
+    def test_no_team_is_above_its_share_while_all_demand_is_served(self) -> None:
+        tokens = {"flood": 1_000_000.0, "small": 1_000.0}
+        self.assertEqual({}, team_usage.excess_over_share(tokens, tokens))
 
-    def test_a_flood_is_above_its_share_while_others_go_short(self) -> None:
-        asked = {"flood": 1_000_000.0, "middle": 300_000.0, "small": 1_000.0}
-        begun = {"flood": 400_000.0, "middle": 100_000.0, "small": 1_000.0}
-        self.assertEqual({"flood": 1.6}, team_usage.excess_over_share(asked, begun))
+    def test_a_flooding_team_is_above_its_share_while_others_are_short(self) -> None:
+        demanded = {"flood": 1_000_000.0, "middle": 300_000.0, "small": 1_000.0}
+        served = {"flood": 400_000.0, "middle": 100_000.0, "small": 1_000.0}
+        self.assertEqual({"flood": 1.6}, team_usage.excess_over_share(demanded, served))
 
-    def test_the_more_a_team_is_above_its_share_the_less_of_an_engine_it_may_fill(self) -> None:
-        # Two teams above capacity: one reaches its engines through a slow, crowded gateway, the
-        # other through many. Equal windows would give the second one several times as much.
+    def test_the_prefill_window_shrinks_with_the_excess_over_the_share(self) -> None:
+        # Of two teams above capacity, one sends through a single overloaded gateway, the other
+        # through many. With equal windows, the second would get several times as much.
         windows = [
             placement.prefill_window_seconds(excess) for excess in (None, 1.01, 1.5, 2.0, 9.0)
         ]
         self.assertEqual(sorted(windows, reverse=True), windows)
         self.assertEqual(placement.PREFILL_WINDOW_SECONDS, windows[0])
         self.assertAlmostEqual(windows[1] / 2, windows[3], delta=0.01)
-        # Engines never idle for it: the window outlasts the way of news between gateways.
+        # The smallest window outlasts the delay of load updates, so that engines do not idle.
         self.assertEqual(placement.MIN_WINDOW_SECONDS, windows[-1])
 
     @given(st.lists(st.floats(0.0, 1e6), min_size=1, max_size=30), st.floats(1.0, 1e6))
@@ -323,16 +323,16 @@
 
 
 class PromptCacheTest(unittest.TestCase):
-    """Guards against a cache model that believes in parts whose predecessors are gone."""
+    """Guards against counting parts as cached whose preceding parts were evicted."""
 
-    def test_a_part_counts_only_behind_its_predecessors(self) -> None:
+    def test_a_part_counts_only_after_the_parts_before_it(self) -> None:
         cache = prompt_cache.EngineCache(100_000)
         first = builders.make_terms("q1", "doc-a").parts
         cache.record_prompt(prompt_cache.prefix_keys(first))
         other = (*builders.make_terms("q2", "doc-b").parts[:1], first[1])
         self.assertEqual(0, cache.cached_tokens(prompt_cache.prefix_keys(other)))
 
-    def test_the_least_recently_used_part_yields(self) -> None:
+    def test_the_least_recently_used_prefix_is_evicted(self) -> None:
         cache = prompt_cache.EngineCache(40_000)
         for name in ("doc-a", "doc-b"):
             cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms(name, name).parts))
--- a/tests/unit/test_loop_lag.py
+++ b/tests/unit/test_loop_lag.py
@@ -1,4 +1,7 @@
-"""Plays loads of one gateway: a hot team whose callers all reach the same one."""
+"""Tests of the overload detection, which moves clients away from a gateway that lags.
+
+A single gateway overloads when all callers of a busy team connect to it.
+"""
 
 import unittest
 
@@ -10,27 +13,27 @@
         self.lag = loop_lag.LoopLag()
         self.now = 100.0
 
-    def play(self, late_seconds: float, count: int) -> list[bool]:
-        """Let a timer fire some times, each so late, and return the judgement after each."""
-        found = []
+    def fire_timer(self, late_seconds: float, count: int) -> list[bool]:
+        """Record timers that fire ``late_seconds`` late; return the overload state after each."""
+        states = []
         for _ in range(count):
             self.now += 0.25 + late_seconds
             self.lag.record(late_seconds, self.now)
-            found.append(self.lag.overloaded)
-        return found
+            states.append(self.lag.overloaded)
+        return states
 
-    def test_a_gateway_that_stays_late_sends_new_clients_elsewhere(self) -> None:
-        self.assertTrue(self.play(0.4, 8)[-1])
+    def test_persistent_lag_is_overload(self) -> None:
+        self.assertTrue(self.fire_timer(0.4, 8)[-1])
 
-    def test_one_freeze_is_no_overload(self) -> None:
-        self.assertNotIn(True, self.play(5.0, 1) + self.play(0.0, 8))
+    def test_a_single_freeze_is_no_overload(self) -> None:
+        self.assertNotIn(True, self.fire_timer(5.0, 1) + self.fire_timer(0.0, 8))
 
-    def test_a_busy_gateway_that_keeps_up_stays(self) -> None:
-        self.assertNotIn(True, self.play(0.1, 100))
+    def test_moderate_lag_is_no_overload(self) -> None:
+        self.assertNotIn(True, self.fire_timer(0.1, 100))
 
-    def test_it_stays_away_until_the_balancer_has_moved_clients_and_comes_back(self) -> None:
-        self.play(0.4, 8)
-        left_at = self.now
-        back = next(self.now for _ in range(100) if not self.play(0.0, 1)[0])
-        self.assertGreater(back, left_at + 1.0)
+    def test_overload_lasts_until_the_load_balancer_has_moved_clients(self) -> None:
+        self.fire_timer(0.4, 8)
+        overloaded_at = self.now
+        recovered_at = next(self.now for _ in range(100) if not self.fire_timer(0.0, 1)[0])
+        self.assertGreater(recovered_at, overloaded_at + 1.0)
         self.assertFalse(self.lag.overloaded)
--- a/tests/unit/test_platform_names.py
+++ b/tests/unit/test_platform_names.py
@@ -1,4 +1,4 @@
-"""Guards against names of the users' platform outside its adapter."""
+"""Guards against names of the deployment platform outside its adapter package."""
 
 import pathlib
 import re
@@ -7,7 +7,7 @@
 from masticward.platform import names
 
 PACKAGE = pathlib.Path(__file__).resolve().parents[2] / "src" / "masticward"
-FIELDS = (
+FIELD_NAMES = (
     "current_rev",
     "has_more",
     "cold_remaining_ms",
@@ -22,13 +22,15 @@
 
 
 class PlatformNamesTest(unittest.TestCase):
-    def test_only_the_adapter_knows_the_platforms_names(self) -> None:
-        found = [
+    def test_platform_names_occur_only_in_the_adapter(self) -> None:
+        header_names = [
             value.decode()
             for name, value in vars(names).items()
             if name.isupper() and isinstance(value, bytes) and value.startswith(b"x-masticward")
         ]
-        pattern = re.compile("|".join([re.escape(item) for item in (*found, *FIELDS)]), re.I)
+        pattern = re.compile(
+            "|".join([re.escape(item) for item in (*header_names, *FIELD_NAMES)]), re.I
+        )
         violations = [
             f"{path.relative_to(PACKAGE)}:{number}"
             for path in sorted(PACKAGE.rglob("*.py"))
@@ -37,4 +39,4 @@
             if pattern.search(line)
         ]
         self.assertEqual([], violations)
-        self.assertGreater(len(found), 8)
+        self.assertGreater(len(header_names), 8)
