--- a/src/masticward/models/gateway.py
+++ b/src/masticward/models/gateway.py
@@ -120,9 +120,9 @@
 class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """Metadata from the headers of an endpoint's response.
 
-    ``proven`` is set if the response carries its proof, ``not_run`` if it did not execute the
-    request, ``encoded`` if the body has a content encoding, and ``closes`` if the connection ends
-    after the response. ``running`` and ``waiting`` count requests at the endpoint.
+    ``proven`` is set if the response carries its proof, ``not_run`` if the endpoint did not
+    execute the request, ``encoded`` if the body has a content encoding, and ``closes`` if the
+    connection ends after the response. ``running`` and ``waiting`` count requests at the endpoint.
     """
 
     request_id: str | None
@@ -136,7 +136,13 @@
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits that apply to the fleet as a whole."""
+    """Limits that apply to the fleet as a whole.
+
+    API keys are accepted only with a proof of the configuration that is younger than
+    ``revoke_seconds``. Within ``retry_window_seconds``, retries of a service are limited to
+    ``retry_ratio`` times its requests plus ``retry_slack``. A cold endpoint gets at most its
+    rate times ``cold_overage`` plus ``cold_slack`` requests per second.
+    """
 
     revoke_seconds: float
     stop_grace_seconds: float
--- a/src/masticward/platform/store.py
+++ b/src/masticward/platform/store.py
@@ -94,7 +94,7 @@
             exchange = http1.Exchange(channel)
             async with asyncio.timeout(timeout_seconds):
                 await exchange.send(method, path.encode(), headers, body)
-                answer = await exchange.read_head()
+                response = await exchange.read_head()
                 data = await exchange.read_body()
         except (TimeoutError, errors.EndpointError) as error:
             self.failed_calls += 1
@@ -109,7 +109,7 @@
             self.connections[kind] = channel
         else:
             channel.abort()
-        return answer.status, data
+        return response.status, data
 
     async def read(self, kind: sources.ObjectKind, path: str, timeout_seconds: float) -> bytes:
         """Make a GET call and return its body.
--- a/src/masticward/state/cold_start.py
+++ b/src/masticward/state/cold_start.py
@@ -28,7 +28,8 @@
     ) -> bool:
         """Return whether this process may send a request to a cold endpoint now.
 
-        ``rate`` is the fleet-wide limit in requests per second.
+        ``rate`` is the fleet-wide limit in requests per second, ``gateways`` has the IDs of all
+        live gateways.
         """
         if now < self.next_send_at.get(endpoint_id, 0.0):
             return False
--- a/src/masticward/state/load_table.py
+++ b/src/masticward/state/load_table.py
@@ -64,14 +64,14 @@
 
     def update_peer_loads(self, peer: str, loads: dict[str, EndpointLoad], now: float) -> None:
         """Replace the given loads of a peer; its other loads stay."""
-        _, known = self.peers.get(peer, (now, {}))
-        self.peers[peer] = (now, known)
+        _, peer_loads = self.peers.get(peer, (now, {}))
+        self.peers[peer] = (now, peer_loads)
         for endpoint_id, load in loads.items():
-            previous = known.pop(endpoint_id, None)
+            previous = peer_loads.pop(endpoint_id, None)
             if previous is not None:
                 self.subtract_peer_load(endpoint_id, previous)
             if load.requests > 0:
-                known[endpoint_id] = load
+                peer_loads[endpoint_id] = load
                 add(self.peer_totals[endpoint_id], load, 1)
 
     def remove_peer(self, peer: str) -> None:
--- a/src/masticward/state/placement.py
+++ b/src/masticward/state/placement.py
@@ -31,7 +31,8 @@
 # Longest prefill backlog at which an engine is sent more requests. The others wait in the gateways,
 # which decide their order.
 PREFILL_WINDOW_SECONDS = 0.35
-# Window of a team above its fair share; it keeps engines busy and leaves the rest to other teams.
+# Window of a team above its fair share, divided by its excess. It still keeps engines busy and
+# leaves the rest of the regular window to other teams.
 OVER_SHARE_WINDOW_SECONDS = 0.22
 # Smallest window of any team: load updates reach a busy gateway up to 60 ms late, and engines must
 # not run idle in the meantime.
--- a/tests/lib/platform_standins.py
+++ b/tests/lib/platform_standins.py
@@ -216,7 +216,7 @@
             await asyncio.sleep(60.0)
         if "watch" in query:
             return await self.watch(kind, int(query["watch"]), int(query["wait_ms"]) / 1000)
-        items = [item for (found, _), item in sorted(self.objects.items()) if found == kind]
+        items = [item for (item_kind, _), item in sorted(self.objects.items()) if item_kind == kind]
         return 200, {"items": items, "has_more": False, "current_rev": self.revision}
 
     async def watch(self, kind: str, revision: int, wait: float) -> tuple[int, typing.Any]:
@@ -226,14 +226,14 @@
         deadline = asyncio.get_running_loop().time() + wait
         while True:
             changed = self.changed
-            found = [
+            events = [
                 {"object": item, "removed": removed}
                 for number, item_kind, item, removed in self.history
                 if number > revision and item_kind == kind
             ]
             remaining = deadline - asyncio.get_running_loop().time()
-            if found or remaining <= 0:
-                return 200, {"events": found, "current_rev": self.revision}
+            if events or remaining <= 0:
+                return 200, {"events": events, "current_rev": self.revision}
             try:
                 async with asyncio.timeout(remaining):
                     await changed.wait()
