--- a/src/masticward/platform/headers.py
+++ b/src/masticward/platform/headers.py
@@ -139,7 +139,7 @@
             headers.append((names.CONTENT_LENGTH, str(body_bytes).encode()))
         return headers
 
-    def decode_answer(
+    def decode_response_head(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> gateway.ResponseMetadata:
         """Return the metadata of an endpoint's response."""
@@ -158,7 +158,7 @@
             waiting=waiting,
         )
 
-    def answer_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+    def response_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
         """Return the headers of an endpoint's response that are sent to the client."""
         return [item for item in headers if item[0].lower() not in names.CONNECTION_HEADERS]
 
--- a/src/masticward/platform/store.py
+++ b/src/masticward/platform/store.py
@@ -127,7 +127,7 @@
     async def list_objects(self, kind: sources.ObjectKind) -> sources.Listing:
         """Return all current objects of a kind."""
         name = KIND_NAMES[kind]
-        items: list[sources.Listed] = []
+        items: list[sources.StoredObject] = []
         after = ""
         revision: int | None = None
         while True:
@@ -180,7 +180,7 @@
 
 def decode_item(
     kind: sources.ObjectKind, document: dict[str, typing.Any], removed: bool
-) -> sources.Listed | None:
+) -> sources.StoredObject | None:
     """Return a stored object; None if its metadata is invalid.
 
     An object with valid metadata and invalid content is returned with the value None.
@@ -201,4 +201,4 @@
                 name=metadata.name,
                 error=str(error),
             )
-    return sources.Listed(metadata.name, value, removed)
+    return sources.StoredObject(metadata.name, value, removed)
--- a/src/masticward/state/team_usage.py
+++ b/src/masticward/state/team_usage.py
@@ -70,17 +70,17 @@
         return totals
 
 
-def excess_over_share(demanded: dict[str, float], served: dict[str, float]) -> dict[str, float]:
+def excess_over_share(demand: dict[str, float], served: dict[str, float]) -> dict[str, float]:
     """Return usage as a multiple of the max-min share, for each team above its share.
 
-    ``demanded`` and ``served`` are tokens by team. The sum of the served tokens is taken as the
-    capacity. While nothing waits, all that was demanded is being served and no team is above its
+    ``demand`` and ``served`` are tokens by team. The sum of the served tokens is taken as the
+    capacity. While nothing waits, all demand is being served and no team is above its
     share.
     """
     capacity = sum(served.values())
-    if sum(demanded.values()) <= capacity * SHORTAGE_RATIO:
+    if sum(demand.values()) <= capacity * SHORTAGE_RATIO:
         return {}
-    share = max_min_share(list(demanded.values()), capacity)
+    share = max_min_share(list(demand.values()), capacity)
     return {team: tokens / share for team, tokens in served.items() if tokens > share}
 
 
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -210,7 +210,7 @@
         self.assertEqual(413, (await self.ask("book", body=bytes(100001))).status)
         self.assertEqual(0, self.attempts())
 
-    async def test_after_a_dropped_connection_idle_ones_are_trusted_for_less_time(self) -> None:
+    async def test_a_dropped_connection_shortens_the_reuse_limit(self) -> None:
         # An endpoint that silently drops idle connections resets the next request on each of them.
         used: set[asyncio.StreamWriter] = set()
 
@@ -490,10 +490,10 @@
         await self.add_endpoint("e1")
         await self.start()
         key = "Authorization: Bearer key-a\r\n"
-        await self.wait_until(lambda: self.fleet.keys_provable(clocks.boot_time()))
+        await self.wait_until(lambda: self.fleet.proof_is_fresh(clocks.boot_time()))
         self.assertEqual(200, (await self.ask("keyed", extra=key)).status)
         self.store.unavailable = True
-        await self.wait_until(lambda: not self.fleet.keys_provable(clocks.boot_time()))
+        await self.wait_until(lambda: not self.fleet.proof_is_fresh(clocks.boot_time()))
         self.assertEqual(503, (await self.ask("keyed", extra=key)).status)
         self.assertEqual(200, (await self.ask("book")).status)
 
--- a/tests/unit/test_gateway_state.py
+++ b/tests/unit/test_gateway_state.py
@@ -202,20 +202,20 @@
 class IdleConnectionsTest(unittest.TestCase):
     """Guards against idle connections that use up an endpoint's connection limit."""
 
-    def test_idle_connections_are_trusted_again_days_after_a_drop(self) -> None:
-        # Unlimited doubling of the trusted time overflowed 2.8 hours after a dropped connection.
+    def test_the_reuse_limit_recovers_days_after_a_dropped_connection(self) -> None:
+        # Unlimited doubling of the reuse limit overflowed 2.8 hours after a dropped connection.
         pool = calls.ConnectionPool(builders.make_fleet())
-        pool.trust["llm"] = calls.IdleTrust(calls.SHORTEST_TRUST_SECONDS, 0.0)
-        self.assertGreater(pool.trusted_seconds("llm", 1e6), calls.LONGEST_KEEP_SECONDS)
+        pool.reuse_limits["llm"] = calls.ReuseLimit(calls.MIN_REUSE_LIMIT_SECONDS, 0.0)
+        self.assertGreater(pool.reuse_limit_seconds("llm", 1e6), calls.MAX_IDLE_SECONDS)
 
     def test_all_gateways_keep_at_most_half_of_an_endpoint_s_connections(self) -> None:
         fleet = builders.make_fleet()
         pool = calls.ConnectionPool(fleet)
-        self.assertEqual(calls.KEPT_CONNECTIONS, pool.most_kept("llm"))
+        self.assertEqual(calls.MAX_IDLE_CONNECTIONS, pool.idle_limit("llm"))
         fleet.live_gateways = [f"g{number}" for number in range(25)]
-        self.assertLessEqual(25 * pool.most_kept("llm"), 370 * calls.IDLE_SHARE)
+        self.assertLessEqual(25 * pool.idle_limit("llm"), 370 * calls.IDLE_CONNECTIONS_FRACTION)
         fleet.live_gateways = [f"g{number}" for number in range(410)]
-        self.assertEqual(1, pool.most_kept("llm"))
+        self.assertEqual(1, pool.idle_limit("llm"))
 
 
 class WindowedRetryBudgetTest(unittest.TestCase):
@@ -297,9 +297,9 @@
         self.assertEqual({}, team_usage.excess_over_share(tokens, tokens))
 
     def test_a_flooding_team_is_above_its_share_while_others_are_short(self) -> None:
-        demanded = {"flood": 1_000_000.0, "middle": 300_000.0, "small": 1_000.0}
+        demand = {"flood": 1_000_000.0, "middle": 300_000.0, "small": 1_000.0}
         served = {"flood": 400_000.0, "middle": 100_000.0, "small": 1_000.0}
-        self.assertEqual({"flood": 1.6}, team_usage.excess_over_share(demanded, served))
+        self.assertEqual({"flood": 1.6}, team_usage.excess_over_share(demand, served))
 
     def test_the_prefill_window_shrinks_with_the_excess_over_the_share(self) -> None:
         # Of two teams above capacity, one sends through a single overloaded gateway, the other
