--- a/src/masticward/state/placement.py
+++ b/src/masticward/state/placement.py
@@ -136,7 +136,7 @@
     states: collections.abc.Sequence[EngineState],
     engine: gateway.Engine,
     keys: list[tuple[int, int]],
-    request: gateway.RequestMetadata,
+    terms: gateway.RequestMetadata,
     recompute_weight: float,
     window_seconds: float,
 ) -> Choice | None:
@@ -159,7 +159,7 @@
     for state in states:
         load = state.load
         cached = state.cache.cached_tokens(keys)
-        unread = max(1, request.prompt_tokens - cached)
+        unread = max(1, terms.prompt_tokens - cached)
         expected = (load.unread_tokens + unread) / PREFILL_TOKENS_PER_SECOND
         expected += load.requests * REQUEST_OVERHEAD_SECONDS
         cost = expected * state.slowness + state.failure_seconds
@@ -174,7 +174,7 @@
         cost_seconds=best_cost,
         expected_seconds=best_expected,
         unread_tokens=best_unread,
-        has_capacity=has_capacity(best, engine, request, best_unread, window_seconds),
+        has_capacity=has_capacity(best, engine, terms, best_unread, window_seconds),
         slowness=best.slowness,
         owner_id=owner_id,
     )
@@ -198,7 +198,7 @@
 def has_capacity(
     state: EngineState,
     engine: gateway.Engine,
-    request: gateway.RequestMetadata,
+    terms: gateway.RequestMetadata,
     unread_tokens: int,
     window_seconds: float,
 ) -> bool:
@@ -206,7 +206,7 @@
     load = state.load
     if load.requests == 0:
         return True
-    memory = load.memory_tokens + request.prompt_tokens + request.output_tokens
+    memory = load.memory_tokens + terms.prompt_tokens + terms.output_tokens
     if load.requests >= engine.slots or memory > MAX_MEMORY_FRACTION * engine.cache_tokens:
         return False
     if load.unread_tokens <= 0:
