--- a/src/masticward/models/attempts.py
+++ b/src/masticward/models/attempts.py
@@ -1,4 +1,4 @@
-"""An attempt as an agent receives it, and what happens in its course."""
+"""Attempts as received by an agent, and the events they produce."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class AttemptRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """One attempt to run a call. ``entry_peer_address`` is empty if the entry did not tell it."""
+    """One attempt to run a call. ``entry_peer_address`` is empty if the entry did not send it."""
 
     attempt_id: str
     ticket_id: str
@@ -21,7 +21,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The attempt was taken in. Its call has started or waits to; a refusal may still follow."""
+    """The attempt was admitted. Its call has started or is queued; a refusal may still follow."""
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
@@ -32,20 +32,20 @@
 
 
 class ResponseChunk(msgspec.Struct, frozen=True):
-    """A part of the response body and the cost in cost units that it adds. May be empty."""
+    """A part of the response body, possibly empty, and the cost units that it adds."""
 
     data: bytes
     cost: float
 
 
 class Finished(msgspec.Struct, frozen=True):
-    """The whole response was delivered. ``cost`` is the total in cost units."""
+    """The complete response was delivered. ``cost`` is the total in cost units."""
 
     cost: float
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """The call was not started and will not be."""
+    """The call was not started, and this attempt will not start it."""
 
     reason: work.RefusalReason
     retry_after_ms: int = 0
@@ -53,7 +53,7 @@
 
 
 class Failed(msgspec.Struct, frozen=True):
-    """The call may have run, but there is no whole response."""
+    """There is no complete response. ``may_have_run`` is False if the call was not run."""
 
     reason: str
     may_have_run: bool = True
--- a/src/masticward/models/configuration.py
+++ b/src/masticward/models/configuration.py
@@ -7,17 +7,17 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """How the endpoints of a service behave."""
+    """The kind of endpoints that a service has."""
 
     LANGUAGE_MODEL = "language-model"
     PLAIN = "plain"
 
 
 class Operation(msgspec.Struct, frozen=True, kw_only=True):
-    """One kind of call of a service, chosen by method and path.
+    """One kind of call that a service offers, selected by method and path.
 
     ``path`` may end in ``/*``, which matches every path below it. ``cost`` is the fixed cost of a
-    plain call in cost units; a language-model call is charged by tokens.
+    plain call in cost units; language-model calls are charged by tokens instead.
     """
 
     name: str
@@ -28,11 +28,11 @@
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """A pool of like endpoints with the limits each of them bears.
+    """A pool of identical endpoints and the limits of each endpoint.
 
-    Limits count concurrent calls of one endpoint. Weights are cost units per token.
-    ``maximum_cost`` bounds the estimate for one request, in cost units. ``endpoints`` is the number
-    of endpoints the service is planned with; the live ones come from the instance list.
+    ``cold_limit`` and ``warm_limit`` bound the concurrent calls of one endpoint. Weights are cost
+    units per token. ``maximum_cost`` bounds the estimated cost of one request, in cost units.
+    ``endpoints`` is the planned number of endpoints; the live ones come from the instance list.
     """
 
     name: str
@@ -47,12 +47,12 @@
 
 
 def call_digest(service: Service, operation: Operation) -> int:
-    """Return a digest of what entry and agent must agree on to run a call of an operation."""
+    """Return a digest of the settings on which entry and agent must agree to run a call."""
     return xxhash.xxh3_64_intdigest(msgspec.json.encode((service.name, service.kind, operation)))
 
 
 class Team(msgspec.Struct, frozen=True, kw_only=True):
-    """A tenant with its share of each service and the SHA-256 hex digests of its credentials."""
+    """A tenant, its share of each service and the SHA-256 hex digests of its credentials."""
 
     name: str
     share: float
@@ -60,7 +60,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted configuration. Version 0 means that there is none."""
+    """One published configuration. Version 0 denotes the absence of a configuration."""
 
     version: int
     availability_zones: tuple[str, ...]
@@ -69,9 +69,10 @@
 
 
 class AuditEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted change. ``time`` is the operator's wall clock in ISO 8601, for people only.
+    """One published change.
 
-    ``change_id`` is random; it tells the writer whether its own write took effect.
+    ``time`` is the operator's wall clock in ISO 8601, for information only. ``change_id`` is random
+    and shows the writer whether its own write took effect.
     """
 
     time: str
@@ -84,9 +85,10 @@
 
 
 class RetiredShard(msgspec.Struct, frozen=True, kw_only=True):
-    """A shard that is no longer named since manifest ``version``, to be deleted later.
+    """A shard that manifest ``version`` ceased to reference, to be deleted later.
 
-    ``stored_version`` is the object's version then; a shard written again since has another one.
+    ``stored_version`` is the object's version at that time; a shard that has been written again
+    since then has another version.
     """
 
     name: str
@@ -95,9 +97,9 @@
 
 
 class Manifest(msgspec.Struct, frozen=True, kw_only=True):
-    """The small object that names the shards of one configuration.
+    """The object that lists the shards of one configuration.
 
-    ``audit_rolled`` counts the oldest audit entries, which are in ``audit/config/<n>`` objects.
+    ``audit_rolled`` counts the oldest audit entries, moved to ``audit/config/<n>`` objects.
     """
 
     version: int
@@ -120,6 +122,6 @@
 
 
 class TeamShard(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of the teams, stored as ``config/shard/<hash of the content>``."""
+    """A subset of the teams, stored as ``config/shard/<content hash>``."""
 
     teams: tuple[Team, ...]
--- a/src/masticward/models/membership.py
+++ b/src/masticward/models/membership.py
@@ -1,4 +1,4 @@
-"""Instances as the instance list and heartbeats tell of them."""
+"""Instances as described by the instance list and by exchanges between peers."""
 
 import enum
 
@@ -13,7 +13,7 @@
 
 
 class Instance(msgspec.Struct, frozen=True, kw_only=True):
-    """One instance of the fleet. ``service`` is empty for entries. Addresses are ``host:port``."""
+    """One instance of the fleet. ``service`` is empty for entries; addresses are ``host:port``."""
 
     id: str
     role: Role
--- a/src/masticward/models/objects.py
+++ b/src/masticward/models/objects.py
@@ -1,4 +1,4 @@
-"""Names of the objects in the object API."""
+"""Names of the configuration objects in the object API."""
 
 MANIFEST = "config/manifest"
 OPERATIONS = "ops/state"
@@ -8,5 +8,5 @@
 
 
 def team_shard_object_name(content_hash: str) -> str:
-    """Return the name of a shard of teams."""
+    """Return the name of the object that stores a shard of teams."""
     return SHARD_PREFIX + content_hash
--- a/src/masticward/models/work.py
+++ b/src/masticward/models/work.py
@@ -1,4 +1,4 @@
-"""Tickets, slots, attempts and their outcomes. Deadlines are monotonic seconds."""
+"""Tickets, slots, assignments, calls and outcomes. Deadlines are monotonic seconds."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What a caller is told about its request (header ``Masticward-Outcome``)."""
+    """The outcome of a request, sent to the caller in the ``Masticward-Outcome`` header."""
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -14,7 +14,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why an agent did not run an attempt. Each reason means that the call was not started."""
+    """Why an attempt was refused. Each reason implies that the call was not started."""
 
     WRONG_INCARNATION = "wrong-incarnation"
     DUPLICATE_ATTEMPT = "duplicate-attempt"
@@ -34,7 +34,7 @@
 
 
 class Ticket(msgspec.Struct, kw_only=True):
-    """A request that waits for a slot, without its body."""
+    """A request waiting for a slot, without its body."""
 
     id: str
     team: str
@@ -47,7 +47,7 @@
 
 
 class Slot(msgspec.Struct, kw_only=True):
-    """Permission to send one attempt to one agent incarnation until its deadline."""
+    """Permission to send one attempt to one agent incarnation before the deadline."""
 
     id: int
     agent_id: str
@@ -58,7 +58,7 @@
 
 
 class Assignment(msgspec.Struct, kw_only=True):
-    """A ticket with the slot that it was given."""
+    """The assignment of a slot to a ticket."""
 
     ticket_id: str
     slot: Slot
--- a/src/masticward/state/claims.py
+++ b/src/masticward/state/claims.py
@@ -1,7 +1,7 @@
-"""Records of idempotency keys in one object, and the changes that are made to them.
+"""Idempotency key records, sharded over objects of the object API, and their stored encoding.
 
-Values are MessagePack with digests as bytes, half the size of the JSON that earlier versions wrote.
-JSON is still read, since a record outlives the version that wrote it.
+Shards are encoded as MessagePack with binary digests, about half the size of the JSON written by
+earlier releases. JSON is still decoded, because records outlive the release that wrote them.
 """
 
 import enum
@@ -12,25 +12,31 @@
 
 from masticward import errors
 
-SHARD_COUNT = 4096  # at two writes a call, the object API's write rate is used up before the space
-SHARD_LIMIT_BYTES = 1_000_000  # the object API takes values up to 1 MB
+# Each keyed call costs two writes, so with this many shards the write rate of the object API is
+# exhausted before the shards are full.
+SHARD_COUNT = 4096
+SHARD_LIMIT_BYTES = 1_000_000  # largest value that the object API accepts
+# Larger outcomes are stored in an object of their own.
 INLINE_OUTCOME_LIMIT_BYTES = 16 * 1024
-OUTCOME_LIMIT_BYTES = 700_000  # with its headers it must stay below 1 MB
-FINISH_RESERVE_BYTES = 320  # room that a claim keeps for the reference to its outcome
+# Limits the response body of a recorded outcome, so that the outcome object with the response
+# headers stays below the 1 MB limit of the object API.
+OUTCOME_LIMIT_BYTES = 700_000
+# Space reserved for each unfinished claim, enough to add a reference to its outcome object.
+FINISH_RESERVE_BYTES = 320
 FINISHED_RETENTION_SECONDS = 24 * 3600.0
-MAP_HEADER_BYTES = 5  # the largest one of MessagePack
-TEXT_TAG, DIGEST_TAG = b"\0", b"\1"  # the first byte of a packed digest
+MAP_HEADER_BYTES = 5  # largest map header in MessagePack
+TEXT_TAG, DIGEST_TAG = b"\0", b"\1"  # type tag, the first byte of a packed digest
 
 
 class ClaimState(enum.StrEnum):
-    """Whether the holder of a claim has recorded an outcome."""
+    """Whether the outcome of a claimed key has been recorded."""
 
     CLAIMED = "claimed"
     FINISHED = "finished"
 
 
 class RecordedOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """A response that is replayed to repeats of its key."""
+    """A response that is replayed to later requests with the same idempotency key."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -38,10 +44,11 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One key. ``changed_at`` is the writer's wall clock in seconds, used only for pruning.
+    """The state of one idempotency key.
 
+    ``changed_at`` is the writer's wall clock in seconds, used only for pruning.
     ``outcome_object`` names the object of an outcome that is too large for the record;
-    ``outcome_lost`` tells that the call finished with a response too large for any object.
+    ``outcome_lost`` is set if the call finished with a response too large for any object.
     """
 
     request_digest: str
@@ -54,7 +61,7 @@
 
 
 class StoredOutcome(msgspec.Struct, frozen=True, array_like=True):
-    """The stored form of RecordedOutcome."""
+    """The stored form of RecordedOutcome, encoded as an array."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -62,7 +69,7 @@
 
 
 class StoredRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The stored form of ClaimRecord: digests are bytes."""
+    """The stored form of ClaimRecord, encoded as an array with packed digests."""
 
     request_digest: bytes
     nonce: str
@@ -74,7 +81,7 @@
 
 
 class ClaimVerdict(enum.Enum):
-    """What a claim found."""
+    """The result of claiming a key."""
 
     GRANTED = "granted"
     FINISHED = "finished"
@@ -84,7 +91,7 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A wish to hold a key, for one request of one entry (the nonce)."""
+    """A request to own a key. The nonce identifies one request of one entry."""
 
     key_digest: str
     request_digest: str
@@ -92,10 +99,11 @@
 
 
 class ClaimShard:
-    """The records of one object.
+    """The records stored in one object.
 
-    Changes are idempotent, so that they can be applied again after a conflict or a lost answer.
-    ``dirty`` tells whether the object must be written.
+    Changes are idempotent, so that they can be applied again after a version conflict or a lost
+    response. ``dirty`` is set once the object must be written. ``pruned`` collects the expired
+    records that were removed. ``size_bytes`` includes the space reserved for unfinished claims.
     """
 
     __slots__ = ("dirty", "pruned", "records", "size_bytes")
@@ -105,17 +113,17 @@
         self.dirty = False
         self.pruned: list[ClaimRecord] = []
         unfinished = sum(record.state is ClaimState.CLAIMED for record in records.values())
-        # An upper bound of the encoded size once every claim is finished.
+        # Upper bound of the encoded size after every claim has finished.
         self.size_bytes = MAP_HEADER_BYTES + stored_size_bytes + unfinished * FINISH_RESERVE_BYTES
 
     @classmethod
     def empty(cls) -> "ClaimShard":
-        """Return a shard without records."""
+        """Return a shard with no records."""
         return cls({}, 0)
 
     @classmethod
     def decode(cls, value: bytes) -> "ClaimShard":
-        """Return the shard in an object's value. Raises ClaimShardError."""
+        """Decode the value of a shard object. Raises ClaimShardError."""
         try:
             if is_json(value):
                 records = msgspec.json.decode(value, type=dict[str, ClaimRecord])
@@ -129,13 +137,13 @@
         )
 
     def encode(self) -> bytes:
-        """Return the object's value."""
+        """Return the value to store in the shard object."""
         return msgspec.msgpack.encode(
             {pack_digest(key): pack_record(record) for key, record in self.records.items()}
         )
 
     def claim(self, claim: Claim, now: float) -> ClaimVerdict:
-        """Give the key to the claim if no other holds it. ``now`` is wall clock seconds."""
+        """Record the claim if its key is free; ``now`` is the wall clock in seconds."""
         record = self.records.get(claim.key_digest)
         if record is not None:
             return verdict_for(record, claim)
@@ -154,7 +162,7 @@
         return ClaimVerdict.GRANTED
 
     def finish(self, claim: Claim, finished: ClaimRecord) -> bool:
-        """Replace the claim's own record; returns False if the claim does not hold the key."""
+        """Store the finished record of a claim. Returns False if the claim does not own the key."""
         record = self.records.get(claim.key_digest)
         if record is None or record.nonce != claim.nonce:
             return False
@@ -163,7 +171,7 @@
         return True
 
     def release(self, claim: Claim) -> None:
-        """Remove the claim's own unfinished record, if there is one."""
+        """Remove the record of a claim if the claim owns the key and has not finished."""
         record = self.records.get(claim.key_digest)
         if (
             record is not None
@@ -173,14 +181,14 @@
             self.remove(claim.key_digest)
 
     def fits(self, claim: Claim, finished: ClaimRecord) -> bool:
-        """Tell whether the finished record fits beside the other records."""
+        """Return whether the shard stays within its size limit with the finished record."""
         record = self.records.get(claim.key_digest)
         freed = reserved_size_bytes(claim.key_digest, record) if record is not None else 0
         needed = reserved_size_bytes(claim.key_digest, finished)
         return self.size_bytes - freed + needed <= SHARD_LIMIT_BYTES
 
     def prune(self, now: float) -> None:
-        """Remove finished records older than the retention, never unfinished ones."""
+        """Remove finished records older than FINISHED_RETENTION_SECONDS, never unfinished ones."""
         oldest_kept = now - FINISHED_RETENTION_SECONDS
         for key, record in list(self.records.items()):
             if record.state is ClaimState.FINISHED and record.changed_at < oldest_kept:
@@ -203,7 +211,7 @@
 
 
 def verdict_for(record: ClaimRecord, claim: Claim) -> ClaimVerdict:
-    """Return what an existing record means for a claim of its key."""
+    """Return the verdict on a claim for a key that already has a record."""
     if record.nonce == claim.nonce:
         return ClaimVerdict.GRANTED
     if record.request_digest != claim.request_digest:
@@ -214,32 +222,32 @@
 
 
 def reserved_size_bytes(key: str, record: ClaimRecord) -> int:
-    """Return the encoded size of a record with its key, plus what finishing it may add."""
+    """Return the encoded size of a record and its key, plus the reserve if it is unfinished."""
     reserve = FINISH_RESERVE_BYTES if record.state is ClaimState.CLAIMED else 0
     return encoded_size_bytes(key, record) + reserve
 
 
 def encoded_size_bytes(key: str, record: ClaimRecord) -> int:
-    """Return the encoded size of a record with its key."""
+    """Return the encoded size of a record and its key."""
     return len(msgspec.msgpack.encode(pack_digest(key))) + len(
         msgspec.msgpack.encode(pack_record(record))
     )
 
 
 def extra_map_header_bytes(stored: dict[typing.Any, typing.Any]) -> int:
-    """Return by how much the header of a map is longer than that of an empty one."""
+    """Return how many bytes longer the MessagePack header of a map is than that of an empty map."""
     if len(stored) < 16:
         return 0
     return 2 if len(stored) < 65536 else 4
 
 
 def is_json(value: bytes) -> bool:
-    """Tell whether a value was written as JSON; no MessagePack map or array begins like that."""
+    """Return whether a value is JSON: no stored MessagePack map or array begins with a brace."""
     return value[:1] == b"{"
 
 
 def pack_digest(digest: str) -> bytes:
-    """Return a hex digest as bytes, and any other text as UTF-8; the first byte tells which."""
+    """Encode a lowercase hex digest as raw bytes and other text as UTF-8, after a type tag."""
     try:
         packed = bytes.fromhex(digest)
     except ValueError:
@@ -248,7 +256,7 @@
 
 
 def unpack_digest(packed: bytes) -> str:
-    """Return the text of a packed digest."""
+    """Decode the result of ``pack_digest``."""
     content = packed[1:]
     return content.hex() if packed.startswith(DIGEST_TAG) else content.decode()
 
@@ -259,7 +267,7 @@
 
 
 def unpack_outcome(stored: StoredOutcome) -> RecordedOutcome:
-    """Return the outcome of a stored form."""
+    """Return the outcome in a stored form."""
     return RecordedOutcome(status=stored.status, headers=stored.headers, body=stored.body)
 
 
@@ -277,7 +285,7 @@
 
 
 def unpack_record(stored: StoredRecord) -> ClaimRecord:
-    """Return the record of a stored form."""
+    """Return the record in a stored form."""
     return ClaimRecord(
         request_digest=unpack_digest(stored.request_digest),
         nonce=stored.nonce,
@@ -290,7 +298,7 @@
 
 
 def hash_parts(*parts: bytes) -> str:
-    """Return the SHA-256 hex digest of parts whose borders count."""
+    """Return the SHA-256 hex digest of length-prefixed parts, so that boundaries matter."""
     digest = hashlib.sha256()
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -299,32 +307,32 @@
 
 
 def key_digest(team: str, service: str, key: str) -> str:
-    """Return the digest under which a team's key for a service is recorded."""
+    """Return the digest that identifies an idempotency key of a team for a service."""
     return hash_parts(team.encode(), service.encode(), key.encode())
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest that tells whether a repeat carries the same request."""
+    """Return the digest that identifies the content of a request, to compare repeats with it."""
     return hash_parts(method.encode(), path.encode(), body)
 
 
 def claim_shard_object_name(digest: str) -> str:
-    """Return the name of the object that holds a key."""
+    """Return the name of the shard object for a key digest."""
     return f"claims/{int(digest[:8], 16) % SHARD_COUNT:04x}"
 
 
 def outcome_object_name(claim: Claim) -> str:
-    """Return the name of the object for a large outcome; each claim has its own."""
+    """Return the name of the object for a large outcome, unique to the claim."""
     return f"outcomes/{hash_parts(claim.key_digest.encode(), claim.nonce.encode())}"
 
 
 def encode_outcome(outcome: RecordedOutcome) -> bytes:
-    """Return the value of an outcome object."""
+    """Return the value to store in an outcome object."""
     return msgspec.msgpack.encode(pack_outcome(outcome))
 
 
 def decode_outcome(value: bytes) -> RecordedOutcome:
-    """Return the outcome in an object's value. Raises ClaimShardError."""
+    """Decode the value of an outcome object. Raises ClaimShardError."""
     try:
         if is_json(value):
             return msgspec.json.decode(value, type=RecordedOutcome)
--- a/src/masticward/state/entry_queue.py
+++ b/src/masticward/state/entry_queue.py
@@ -1,4 +1,4 @@
-"""Bounds of the requests that one entry holds, by count and bytes, in total and per team."""
+"""Limits on the requests and body bytes held by one entry, in total and per team."""
 
 import collections.abc
 
@@ -9,7 +9,7 @@
 
 
 class TeamReservations:
-    """What one team holds: its waiting requests in order of arrival and the bytes of all bodies."""
+    """Waiting requests of one team in order of arrival, and the size of all its bodies."""
 
     __slots__ = ("body_bytes", "open_reservations", "waiting")
 
@@ -20,7 +20,7 @@
 
 
 class Reservation:
-    """The part of the bounds that one request takes, from its head to its outcome."""
+    """The share of the limits that one request uses, from its head to its outcome."""
 
     __slots__ = ("body_bytes", "queue", "released", "request_id", "team")
 
@@ -32,35 +32,36 @@
         self.released = False
 
     def reserve_bytes(self, size: int) -> None:
-        """Take ``size`` more bytes. Raises QueueFullError."""
+        """Reserve ``size`` more bytes. Raises QueueFullError."""
         self.queue.reserve_bytes(self, size)
 
     def enter_queue(self) -> None:
-        """Count as a waiting request. Raises QueueFullError."""
+        """Count the request as waiting. Raises QueueFullError."""
         self.queue.enter_queue(self)
 
     def requeue(self) -> None:
-        """Count as waiting after a refused attempt, without regard to the bounds.
+        """Count the request as waiting after a refused attempt, without checking the limits.
 
-        The request was admitted before, and the slots of the fleet bound how many come back.
+        The request was admitted before, and the number of slots in the fleet bounds how many
+        requests return to the queue.
         """
         self.queue.add_waiting(self)
 
     def leave_queue(self) -> None:
-        """Stop counting as a waiting request; the body still counts."""
+        """Stop counting the request as waiting; its body still counts."""
         self.queue.leave_queue(self)
 
     def release(self) -> None:
-        """Give everything back; further calls do nothing."""
+        """Release everything that the request uses. Idempotent."""
         self.queue.release(self)
 
 
 class EntryQueue:
     """Counts requests and bytes against the entry's limits.
 
-    When the entry as a whole is full, a request of a team that holds less than the largest team
-    replaces the newest waiting request of that team, so that a few flooding teams cannot keep the
-    others out. ``on_evict`` is called with the id of the replaced request.
+    When the entry as a whole is full, a request of a team that uses less than the largest team
+    evicts the newest waiting request of that team, so that a few flooding teams cannot lock out the
+    others. ``on_evict`` is called with the id of the evicted request.
     """
 
     __slots__ = ("body_bytes", "limits", "on_evict", "teams", "waiting")
@@ -75,12 +76,12 @@
         self.body_bytes = 0
 
     def open(self, team: str, request_id: str) -> Reservation:
-        """Return the reservation of a new request, with nothing in it."""
+        """Return an empty reservation for a new request."""
         self.teams.setdefault(team, TeamReservations()).open_reservations += 1
         return Reservation(self, team, request_id)
 
     def reserve_bytes(self, reservation: Reservation, size: int) -> None:
-        """Add bytes to a reservation. Raises QueueFullError and then changes nothing."""
+        """Add bytes to a reservation. Raises QueueFullError, leaving the reservation unchanged."""
         if reservation.released:
             raise errors.QueueFullError(ENTRY_SCOPE, "the request was replaced")
         team = self.teams[reservation.team]
@@ -98,7 +99,7 @@
         reservation.body_bytes += size
 
     def enter_queue(self, reservation: Reservation) -> None:
-        """Count a request as waiting. Raises QueueFullError and then changes nothing."""
+        """Count a request as waiting. Raises QueueFullError, leaving the queue unchanged."""
         if reservation.released:
             raise errors.QueueFullError(ENTRY_SCOPE, "the request was replaced")
         team = self.teams[reservation.team]
@@ -115,7 +116,7 @@
         self.add_waiting(reservation)
 
     def add_waiting(self, reservation: Reservation) -> None:
-        """Count a request as waiting, once."""
+        """Count a request as waiting unless it is counted already. Does not check the limits."""
         team = self.teams.get(reservation.team)
         if (
             not reservation.released
@@ -126,13 +127,13 @@
             self.waiting += 1
 
     def leave_queue(self, reservation: Reservation) -> None:
-        """Stop counting a request as waiting."""
+        """Stop counting a request as waiting, if it is."""
         team = self.teams.get(reservation.team)
         if team is not None and team.waiting.pop(reservation.request_id, None) is not None:
             self.waiting -= 1
 
     def release(self, reservation: Reservation) -> None:
-        """Give back what a reservation takes, once."""
+        """Release what a reservation uses. Idempotent."""
         if reservation.released:
             return
         self.leave_queue(reservation)
@@ -145,9 +146,10 @@
             del self.teams[reservation.team]
 
     def evict_from_largest_team(self, size_after: int, *, by_bytes: bool) -> bool:
-        """Evict the newest waiting request of the largest team if that team stays the larger one.
+        """Evict the newest waiting request of the largest team if it is larger than ``size_after``.
 
-        ``size_after`` is what the arriving team would hold, in requests or in bytes.
+        ``size_after`` is the size, in requests or bytes, that the arriving request's team would
+        reach. Returns whether a request was evicted.
         """
 
         def size_of(team: TeamReservations) -> int:
--- a/src/masticward/state/explain.py
+++ b/src/masticward/state/explain.py
@@ -1,4 +1,4 @@
-"""A bounded record of recent requests, for operators who ask what happened to a request."""
+"""A bounded log of recent requests, with which operators diagnose individual requests."""
 
 import collections
 import itertools
@@ -7,7 +7,7 @@
 
 
 class AttemptRecord(msgspec.Struct, kw_only=True):
-    """One attempt. ``queue_ms`` and ``virtual_time`` are the dispatcher's figures at dispatch."""
+    """One attempt. The dispatcher reports ``queue_ms`` and ``virtual_time`` at dispatch."""
 
     attempt_id: str
     ticket_id: str
@@ -21,7 +21,7 @@
 
 
 class RequestRecord(msgspec.Struct, kw_only=True):
-    """One request. Times are milliseconds; ``outcome`` is empty while the request is held."""
+    """One request. Times are in milliseconds; ``outcome`` is empty until the request completes."""
 
     request_id: str
     team: str
@@ -36,7 +36,7 @@
 
 
 class ExplainLog:
-    """Keeps the newest ``limit`` records."""
+    """Holds the newest ``limit`` request records."""
 
     __slots__ = ("limit", "records")
 
@@ -45,13 +45,13 @@
         self.records: collections.OrderedDict[str, RequestRecord] = collections.OrderedDict()
 
     def add(self, record: RequestRecord) -> None:
-        """Add a record and forget the oldest one beyond the limit."""
+        """Add a record, evicting the oldest one if the limit is exceeded."""
         self.records[record.request_id] = record
         if len(self.records) > self.limit:
             self.records.popitem(last=False)
 
     def get(self, request_id: str) -> RequestRecord | None:
-        """Return the record of a request, None if it is unknown or forgotten."""
+        """Return the record of a request, None if it is unknown or evicted."""
         return self.records.get(request_id)
 
     def newest(self, count: int) -> list[RequestRecord]:
--- a/src/masticward/state/frames.py
+++ b/src/masticward/state/frames.py
@@ -1,4 +1,4 @@
-"""Checks the numbered frames of one attempt."""
+"""Validation of the numbered response frames of one attempt."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class ResponseHead(msgspec.Struct, frozen=True):
-    """Status and headers of the endpoint's response."""
+    """Status code and headers of the endpoint's response."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -25,26 +25,34 @@
 
 
 class ResponseEnd(msgspec.Struct, frozen=True):
-    """The whole response has arrived and matches its digest. ``cost`` is in cost units."""
+    """The complete response was received and matches its digest. ``cost`` is in cost units."""
 
     cost: float
 
 
 class AttemptAccepted(msgspec.Struct, frozen=True):
-    """The agent admitted the attempt; it may run from now on."""
+    """The agent admitted the attempt; the call may run from here on."""
 
 
 AttemptEvent: typing.TypeAlias = AttemptAccepted | ResponseHead | ResponseChunk | ResponseEnd
 
 
 class FrameAssembler:
-    """Accepts only the next frame of its own attempt and checks count, length and digest.
+    """Decodes the frames of one attempt, in sequence, and verifies count, length and digest.
 
-    The order is accepted, head, any number of chunks, end. Refused and failed may come at any
-    point before the end; refused is "not run" only before the head.
+    The frame order is accepted, head, any number of chunks, end. Refused and failed frames are
+    valid at any point before the end, but show that the call was not run only before the head.
     """
 
-    __slots__ = ("accepted", "attempt_id", "complete", "digest", "head", "length", "sequence")
+    __slots__ = (
+        "accepted",
+        "attempt_id",
+        "complete",
+        "digest",
+        "head_received",
+        "length",
+        "sequence",
+    )
 
     def __init__(self, attempt_id: str) -> None:
         self.attempt_id = attempt_id
@@ -52,14 +60,14 @@
         self.length = 0
         self.digest = xxhash.xxh3_64()
         self.accepted = False
-        self.head = False
+        self.head_received = False
         self.complete = False
 
     def add(self, frame: masticward_pb2.RunFrame) -> AttemptEvent:
-        """Return the event of the next frame.
+        """Return the event for the next frame.
 
-        Raises FrameError for a frame that does not fit, AttemptRefusedError and AttemptFailedError
-        for the agent's own reports.
+        Raises FrameError for an invalid frame, AttemptRefusedError or AttemptFailedError if the
+        agent reports a refusal or a failure.
         """
         self.check_position(frame)
         self.sequence += 1
@@ -79,7 +87,7 @@
         raise errors.FrameError(f"attempt {self.attempt_id}: frame of unknown kind")
 
     def check_position(self, frame: masticward_pb2.RunFrame) -> None:
-        """Raise FrameError if the frame is crossed, late or out of order."""
+        """Raise FrameError for a frame of another attempt, after the end or out of sequence."""
         if frame.attempt_id != self.attempt_id:
             raise errors.FrameError(
                 f"attempt {self.attempt_id}: frame of attempt {frame.attempt_id!r}"
@@ -92,33 +100,33 @@
             )
 
     def on_accepted(self) -> AttemptEvent:
-        """Note the admission, which can come only once and first."""
+        """Record the admission. Raises FrameError if it was received before."""
         if self.accepted:
             raise errors.FrameError(f"attempt {self.attempt_id}: accepted twice")
         self.accepted = True
         return AttemptAccepted()
 
     def on_head(self, head: masticward_pb2.Head) -> AttemptEvent:
-        """Return the head of the response."""
-        if not self.accepted or self.head:
+        """Return the head of the response. Raises FrameError if it is misplaced or invalid."""
+        if not self.accepted or self.head_received:
             raise errors.FrameError(f"attempt {self.attempt_id}: head out of place")
         if head.status not in FINAL_STATUSES:
             raise errors.FrameError(f"attempt {self.attempt_id}: status {head.status}")
-        self.head = True
+        self.head_received = True
         headers = tuple((header.name, header.value) for header in head.headers)
         return ResponseHead(head.status, headers)
 
     def on_chunk(self, chunk: masticward_pb2.Chunk) -> AttemptEvent:
-        """Return a part of the body and add it to length and digest."""
-        if not self.head:
+        """Return a part of the body, after adding it to the running length and digest."""
+        if not self.head_received:
             raise errors.FrameError(f"attempt {self.attempt_id}: chunk before the head")
         self.length += len(chunk.data)
         self.digest.update(chunk.data)
         return ResponseChunk(chunk.data)
 
     def on_end(self, end: masticward_pb2.End) -> AttemptEvent:
-        """Return the end if count, length and digest match."""
-        if not self.head:
+        """Return the end. Raises FrameError unless count, length and digest match."""
+        if not self.head_received:
             raise errors.FrameError(f"attempt {self.attempt_id}: end before the head")
         received = (self.sequence, self.length, self.digest.intdigest())
         declared = (end.frame_count, end.length, end.digest)
@@ -131,13 +139,13 @@
         return ResponseEnd(end.cost)
 
     def refusal(self, refused: masticward_pb2.Refused) -> errors.MasticwardError:
-        """Return the error for a refusal; after the head it contradicts itself."""
-        if self.head:
+        """Return the error for a refusal, which contradicts a response head."""
+        if self.head_received:
             return errors.FrameError(f"attempt {self.attempt_id}: refused after the head")
         return errors.AttemptRefusedError(refused.reason, refused.retry_after_ms, refused.detail)
 
     def failure(self, failed: masticward_pb2.Failed) -> errors.MasticwardError:
-        """Return the error for a failure; "not run" is believed only before the head."""
-        if failed.may_have_run or self.head:
+        """Return the error for a failure; a claim of "not run" is accepted only before the head."""
+        if failed.may_have_run or self.head_received:
             return errors.AttemptFailedError(failed.reason or "the agent reports a failure")
         return errors.AttemptRefusedError("endpoint-not-started", 0, failed.reason)
--- a/src/masticward/state/membership.py
+++ b/src/masticward/state/membership.py
@@ -1,4 +1,4 @@
-"""The instances that a process knows of, from the instance list and from exchanges with them."""
+"""Fleet membership, merged from the instance list and from exchanges with peers."""
 
 import collections.abc
 
@@ -6,14 +6,15 @@
 
 from masticward.models import membership
 
-# An instance that answers exchanges is kept so long without being listed, because the list lags.
+# The instance list lags, so an unlisted instance that answered an exchange within this time stays a
+# member, for at most this long after it was first missing from the list.
 UNLISTED_GRACE_SECONDS = 10.0
-# How long an unlisted instance that no longer answers is remembered.
+# How long the record of an instance is kept that is neither listed nor answers exchanges.
 RECORD_RETENTION_SECONDS = 60.0
 
 
 class InstanceRecord:
-    """One instance with what the list and the exchanges say about it. Times are monotonic."""
+    """One instance and its state in the instance list and in exchanges. Times are monotonic."""
 
     __slots__ = (
         "announced_leaving",
@@ -31,14 +32,14 @@
         self.listed = False
         self.unlisted_since: float | None = None
         self.last_contact_at: float | None = None
-        # Whether the instance was a member when the view was last brought up to date.
+        # Result of ``is_present`` at the last call of ``MembershipView.expire``.
         self.was_present = False
         self.incarnation = 0
         self.announced_leaving = False
         self.suspected_at: float | None = None
 
     def is_present(self, now: float) -> bool:
-        """Tell whether the instance counts as a member at the time ``now``."""
+        """Return whether the instance is a member at the time ``now``."""
         if self.listed:
             return True
         if self.last_contact_at is None or now >= self.last_contact_at + UNLISTED_GRACE_SECONDS:
@@ -46,21 +47,22 @@
         return self.unlisted_since is None or now < self.unlisted_since + UNLISTED_GRACE_SECONDS
 
     def is_leaving(self) -> bool:
-        """Tell whether the instance is listed or has announced itself as leaving."""
+        """Return whether the instance is listed as leaving or has announced that it is."""
         return self.instance.leaving or self.announced_leaving
 
     def with_announcement(self) -> membership.Instance:
-        """Return the instance with its announcement applied."""
+        """Return the instance, marked as leaving if it has announced so."""
         if self.announced_leaving and not self.instance.leaving:
             return msgspec.structs.replace(self.instance, leaving=True)
         return self.instance
 
 
 class MembershipView:
-    """Combines list and exchanges. A list that is down changes nothing: the last one is kept.
+    """The members of the fleet as one process sees them.
 
-    The own instance is always a member. ``revision`` grows with every change; the passing of time
-    takes effect with ``expire``, which ``apply_list`` includes.
+    While the instance list is unavailable, the last one stays in force. The process's own instance
+    is always a member. ``revision`` grows with every change. Time-outs are applied by ``expire``,
+    which ``apply_list`` calls.
     """
 
     __slots__ = ("own_id", "records", "revision")
@@ -74,7 +76,7 @@
     def apply_list(
         self, instances: collections.abc.Iterable[membership.Instance], now: float
     ) -> None:
-        """Take over a list that was read at the time ``now``."""
+        """Apply an instance list that was read at the time ``now``."""
         listed = {instance.id: instance for instance in instances}
         for instance in listed.values():
             self.record_listed(instance)
@@ -84,12 +86,12 @@
         self.expire(now)
 
     def record_listed(self, instance: membership.Instance) -> None:
-        """Record that the list holds the instance."""
+        """Record that the instance is in the instance list."""
         record = self.records.get(instance.id)
         if record is None:
             record = self.records[instance.id] = InstanceRecord(instance)
         elif instance.id == self.own_id:
-            # The process knows its own addresses better than the list.
+            # The list may be outdated: keep the addresses that this process listens on.
             instance = msgspec.structs.replace(record.instance, leaving=instance.leaving)
         if record.listed and (record.instance is instance or record.instance == instance):
             return
@@ -99,24 +101,24 @@
         self.revision += 1
 
     def record_unlisted(self, record: InstanceRecord, now: float) -> None:
-        """Record that a list did not hold a known instance."""
+        """Record that an instance is missing from the instance list."""
         if record.unlisted_since is None:
             record.listed = False
             record.unlisted_since = now
             self.revision += 1
 
     def expire(self, now: float) -> None:
-        """Let the passing of time take effect: unlisted instances cease to be members."""
+        """Apply time-outs: end the membership of unlisted instances and delete old records."""
         for instance_id, record in list(self.records.items()):
             present = record.is_present(now)
             if record.was_present != present:
                 record.was_present = present
                 self.revision += 1
-            last_seen = record.last_contact_at or record.unlisted_since
+            last_active_at = record.last_contact_at or record.unlisted_since
             if (
                 not present
-                and last_seen is not None
-                and now >= last_seen + RECORD_RETENTION_SECONDS
+                and last_active_at is not None
+                and now >= last_active_at + RECORD_RETENTION_SECONDS
             ):
                 del self.records[instance_id]
                 self.revision += 1
@@ -126,8 +128,8 @@
     ) -> None:
         """Record an exchange sent at ``sent_at`` that the instance answered at ``answered_at``.
 
-        Messages of an earlier incarnation are ignored. Suspicion ends only by an exchange that was
-        sent after it arose.
+        Messages of an earlier incarnation are ignored. Only an exchange sent after an instance
+        was last suspected clears the suspicion.
         """
         record = self.record_announcement(instance, incarnation)
         if record is None:
@@ -142,7 +144,7 @@
     def record_announcement(
         self, instance: membership.Instance, incarnation: int
     ) -> InstanceRecord | None:
-        """Record what an instance says about itself; None if the message is to be ignored."""
+        """Record the state that an instance announces. Returns None if the message is ignored."""
         if instance.id == self.own_id:
             return None
         staying = msgspec.structs.replace(instance, leaving=False)
@@ -161,7 +163,7 @@
     def reset_incarnation(
         self, record: InstanceRecord, instance: membership.Instance, incarnation: int
     ) -> None:
-        """Forget what an earlier incarnation of an instance announced."""
+        """Discard the announcements of the earlier incarnation of an instance."""
         record.incarnation = incarnation
         record.announced_leaving = False
         if not record.listed:
@@ -169,36 +171,40 @@
         self.revision += 1
 
     def mark_own_leaving(self) -> None:
-        """Record that the own instance is leaving."""
+        """Record that the process's own instance is leaving."""
         self.records[self.own_id].announced_leaving = True
         self.revision += 1
 
     def suspect(self, instance_id: str, now: float) -> bool:
-        """Suspect an instance from the time ``now``; tells whether it was not suspected before."""
+        """Suspect an instance as of the time ``now``. Returns whether the suspicion is new."""
         record = self.records.get(instance_id)
         if record is None or instance_id == self.own_id:
             return False
-        newly = record.suspected_at is None
+        newly_suspected = record.suspected_at is None
         record.suspected_at = now
-        if newly:
+        if newly_suspected:
             self.revision += 1
-        return newly
+        return newly_suspected
 
     def is_suspected(self, instance_id: str) -> bool:
-        """Tell whether the instance is suspected."""
+        """Return whether the instance is suspected."""
         record = self.records.get(instance_id)
         return record is not None and record.suspected_at is not None
 
     def suspected_ids(self) -> set[str]:
         """Return the ids of the suspected instances."""
-        return {name for name, record in self.records.items() if record.suspected_at is not None}
+        return {
+            instance_id
+            for instance_id, record in self.records.items()
+            if record.suspected_at is not None
+        }
 
     def leaving_ids(self) -> set[str]:
         """Return the ids of the instances that are leaving."""
-        return {name for name, record in self.records.items() if record.is_leaving()}
+        return {instance_id for instance_id, record in self.records.items() if record.is_leaving()}
 
     def is_leaving(self, instance_id: str) -> bool:
-        """Tell whether the instance is listed or has announced itself as leaving."""
+        """Return whether the instance is listed as leaving or has announced that it is."""
         record = self.records.get(instance_id)
         return record is not None and record.is_leaving()
 
--- a/src/masticward/state/retry_budget.py
+++ b/src/masticward/state/retry_budget.py
@@ -1,10 +1,12 @@
-"""Limits the repeated attempts of an entry to a share of its requests."""
+"""Limit on the retries of an entry, as a fraction of its requests."""
 
-BURST_TOKENS = 100.0  # lets a small entry ride out one zone move, which refuses its slots in flight
+# Also the initial level. Lets an entry with little traffic absorb one availability zone move, in
+# which attempts on the slots in flight are refused.
+BURST_TOKENS = 100.0
 
 
 class RetryBudget:
-    """A token bucket: each request adds ``ratio`` tokens, each repeated attempt takes one."""
+    """A token bucket: each request adds ``ratio`` tokens, each retry takes one."""
 
     __slots__ = ("ratio", "tokens")
 
@@ -13,11 +15,11 @@
         self.tokens = BURST_TOKENS
 
     def note_request(self) -> None:
-        """Add the share of one request."""
+        """Add ``ratio`` tokens for one request, up to BURST_TOKENS."""
         self.tokens = min(BURST_TOKENS, self.tokens + self.ratio)
 
     def take(self) -> bool:
-        """Take one token; returns False if there is none."""
+        """Take one token. Returns False if less than one is left."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/src/masticward/state/route_table.py
+++ b/src/masticward/state/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the team of a credential and the operation of a call in one configuration."""
+"""Lookup of the team of a credential and the operation of a call in one configuration."""
 
 import hashlib
 import hmac
@@ -9,7 +9,7 @@
 
 
 class RouteTable:
-    """Indexes of one configuration version."""
+    """Lookup tables for one configuration version."""
 
     __slots__ = ("exact_routes", "teams_by_digest", "version", "wildcard_routes")
 
@@ -28,7 +28,7 @@
     def add_operation(
         self, service: configuration_models.Service, operation: configuration_models.Operation
     ) -> None:
-        """Index one operation; the first one declared for a method and path is kept."""
+        """Index one operation. The first operation declared for a method and path wins."""
         method = operation.method.upper()
         if operation.path.endswith(WILDCARD_SUFFIX):
             prefix = operation.path.removesuffix(WILDCARD_SUFFIX)
@@ -37,14 +37,18 @@
             self.exact_routes.setdefault((method, operation.path), Route(service, operation))
 
     def team_for_credential(self, credential: str) -> str | None:
-        """Return the name of the team that owns a credential."""
+        """Return the name of the team that owns a credential, None if it is unknown."""
         digest = hashlib.sha256(credential.encode()).hexdigest()
         stored, team = self.teams_by_digest.get(digest, ("", ""))
-        # The index is by digest, so its timing depends on nothing a caller can choose to steer.
+        # The lookup is by digest, which callers cannot choose, so its timing gives them no way to
+        # probe for stored credentials.
         return team if hmac.compare_digest(digest, stored) else None
 
     def find_route(self, method: str, path: str) -> "Route | None":
-        """Return the route for a method and a path without query; longest wildcard prefix wins."""
+        """Return the route for a method and a path without query string, None if there is none.
+
+        An exact path takes precedence over wildcards, and longer wildcard prefixes over shorter.
+        """
         route = self.exact_routes.get((method, path))
         prefix = path
         while route is None and "/" in prefix:
@@ -54,7 +58,7 @@
 
 
 class Route:
-    """A service with one of its operations, and the digest by which agents check both."""
+    """A service, one of its operations, and the digest by which agents verify both."""
 
     __slots__ = ("call_digest", "operation", "service")
 
--- a/src/masticward/state/ticket_window.py
+++ b/src/masticward/state/ticket_window.py
@@ -1,13 +1,13 @@
-"""Limits the tickets of one team that are outstanding at the dispatcher of one service."""
+"""Limit on the tickets of one team that are outstanding at the dispatcher of one service."""
 
 import collections
 
 
 class TicketWindow:
-    """Keeps ticket ids in order and tells which of them may be submitted.
+    """Queues ticket ids and limits how many are submitted to the dispatcher at a time.
 
-    At most ``limit`` submitted tickets are without a slot; the rest waits in the entry, so that a
-    flooding team does not fill the dispatcher.
+    At most ``limit`` tickets are submitted and not yet assigned a slot. The others wait in the
+    entry, so that a flooding team cannot fill the queue of the dispatcher.
     """
 
     __slots__ = ("limit", "outstanding", "waiting")
@@ -18,13 +18,13 @@
         self.waiting: collections.OrderedDict[str, None] = collections.OrderedDict()
 
     def add(self, ticket_id: str, *, front: bool) -> None:
-        """Add a ticket at the end, or at the front if it was refused before."""
+        """Append a ticket, or prepend it if ``front`` is set (after a refused attempt)."""
         self.waiting[ticket_id] = None
         if front:
             self.waiting.move_to_end(ticket_id, last=False)
 
     def pop_submittable(self) -> list[str]:
-        """Return the tickets to submit now; they count as outstanding from here on."""
+        """Return the tickets that may be submitted now, and count them as outstanding."""
         submittable = []
         while self.waiting and len(self.outstanding) < self.limit:
             ticket_id, _ = self.waiting.popitem(last=False)
@@ -33,7 +33,7 @@
         return submittable
 
     def remove(self, ticket_id: str) -> bool:
-        """Remove a ticket; returns True if it was outstanding at the dispatcher."""
+        """Remove a ticket. Returns whether it was outstanding at the dispatcher."""
         self.waiting.pop(ticket_id, None)
         if ticket_id not in self.outstanding:
             return False
@@ -42,5 +42,5 @@
 
     @property
     def empty(self) -> bool:
-        """Whether the window holds no ticket."""
+        """Whether the window has no waiting or outstanding tickets."""
         return not self.outstanding and not self.waiting
--- a/src/masticward/state/versions.py
+++ b/src/masticward/state/versions.py
@@ -1,4 +1,4 @@
-"""The newest configuration and operations state that a process has seen."""
+"""The newest configuration and operations state that a process has received."""
 
 import typing
 
@@ -14,7 +14,7 @@
 
 
 class VersionStore:
-    """Holds the newest value of each kind, decoded and as bytes for peers. Never goes back."""
+    """Holds the newest value of each kind, decoded and encoded. Versions never decrease."""
 
     __slots__ = ("configuration", "encoded_configuration", "operations", "operations_bytes")
 
@@ -26,37 +26,37 @@
 
     @property
     def config_version(self) -> int:
-        """The version of the configuration, 0 before the first one."""
+        """The version of the configuration, 0 if there is none."""
         return self.configuration.version if self.configuration is not None else 0
 
     @property
     def operations_version(self) -> int:
-        """The version of the operations state, 0 before the first one."""
+        """The version of the operations state, 0 if there is none."""
         return self.operations.version
 
     @property
     def configuration_bytes(self) -> bytes:
-        """The encoded configuration, empty before the first one; encoded on first use."""
+        """The configuration as JSON, encoded on first use; empty if there is none."""
         if not self.encoded_configuration and self.configuration is not None:
             self.encoded_configuration = msgspec.json.encode(self.configuration)
         return self.encoded_configuration
 
     def adopt_configuration(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
-        """Take an encoded configuration if it is newer; tells whether it was taken."""
+        """Adopt an encoded configuration if it is newer; return whether it was adopted."""
         decoded = decode(raw, configuration_models.Configuration)
         if isinstance(decoded, result.Failure):
             return result.Failure(decoded.failure())
         return result.Success(self.adopt_decoded_configuration(decoded.unwrap()))
 
     def adopt_decoded_configuration(self, value: configuration_models.Configuration) -> bool:
-        """Take a decoded configuration if it is newer; tells whether it was taken."""
+        """Adopt a decoded configuration if it is newer; return whether it was adopted."""
         if value.version <= self.config_version:
             return False
         self.configuration, self.encoded_configuration = value, b""
         return True
 
     def adopt_operations(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
-        """Take an encoded operations state if it is newer; tells whether it was taken."""
+        """Adopt an encoded operations state if it is newer; return whether it was adopted."""
         decoded = decode(raw, configuration_models.OperationsState)
         if isinstance(decoded, result.Failure):
             return result.Failure(decoded.failure())
@@ -68,7 +68,7 @@
 
 
 def decode(raw: bytes, kind: type[ValueT]) -> result.Result[ValueT, errors.VersionRefusedError]:
-    """Decode a value of one kind, whose version must be above 0."""
+    """Decode a value of the given type. Fails unless its version is above 0."""
     try:
         value = msgspec.json.decode(raw, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
