--- a/src/masticward/state/claims.py
+++ b/src/masticward/state/claims.py
@@ -91,7 +91,7 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """A request to own a key. The nonce identifies one request of one entry."""
+    """A request to hold a key. The nonce identifies one request of one entry."""
 
     key_digest: str
     request_digest: str
@@ -162,7 +162,7 @@
         return ClaimVerdict.GRANTED
 
     def finish(self, claim: Claim, finished: ClaimRecord) -> bool:
-        """Store the finished record of a claim. Returns False if the claim does not own the key."""
+        """Store the finished record of a claim; return False if the claim does not hold the key."""
         record = self.records.get(claim.key_digest)
         if record is None or record.nonce != claim.nonce:
             return False
@@ -171,7 +171,7 @@
         return True
 
     def release(self, claim: Claim) -> None:
-        """Remove the record of a claim if the claim owns the key and has not finished."""
+        """Remove the record of a claim if the claim holds the key and has not finished."""
         record = self.records.get(claim.key_digest)
         if (
             record is not None
--- a/tests/functional/test_claims_fuzz.py
+++ b/tests/functional/test_claims_fuzz.py
@@ -1,7 +1,8 @@
-"""Guards idempotency keys against double runs, false refusals and lost outcomes.
+"""Model-based tests of idempotency key claims.
 
-Several entries claim the same keys on a store that fails in every way it may, with holders that
-pause, crash, finish or give up, and callers that vanish.
+They guard against keys that are run twice, refused without cause or lose their outcome. Several
+entries claim the same keys in a store with injected faults, while claim holders crash, finish or
+release and callers cancel.
 """
 
 import asyncio
@@ -20,17 +21,17 @@
 from tests.lib import claim_store
 
 KEYS = ("k1", "k2")
-PATCHES = {
+PATCHED_SECONDS = {
     "GROUP_COMMIT_SECONDS": 0.0,
     "CONFLICT_PAUSE_SECONDS": 0.0,
     "FIRST_BACK_OFF_SECONDS": 0.0,
     "LONGEST_BACK_OFF_SECONDS": 0.0,
 }
-STEPS_OF_LOOP = 40
+LOOP_ITERATIONS = 40
 
 
 class Call:
-    """One caller's request with a key and what became of it."""
+    """One keyed request of a caller, with its pending or granted claim."""
 
     def __init__(self, service: claims.ClaimService, key: str, digest: str) -> None:
         self.service = service
@@ -43,13 +44,14 @@
 
 
 class ClaimsMachine(stateful.RuleBasedStateMachine):
-    """``runs`` is the oracle: the response of the one call that was run for a key."""
+    """``runs`` is the oracle: the digest and response of the single run of each key."""
 
     def __init__(self) -> None:
         super().__init__()
         random.seed(0)
         self.patches = [
-            unittest.mock.patch.object(claims, name, value) for name, value in PATCHES.items()
+            unittest.mock.patch.object(claims, name, value)
+            for name, value in PATCHED_SECONDS.items()
         ]
         for patch in self.patches:
             patch.start()
@@ -57,20 +59,20 @@
         asyncio.set_event_loop(self.loop)
         self.store = claim_store.FaultyStore()
         self.services = [claims.ClaimService(self.store, f"entry-{index}") for index in range(3)]
-        self.claiming: list[Call] = []
+        self.pending: list[Call] = []
         self.held: list[Call] = []
-        self.forgotten: set[str] = set()
+        self.crashed_nonces: set[str] = set()
         self.runs: dict[str, tuple[str, bytes]] = {}
         self.serial = 0
 
-    def pump(self) -> None:
-        async def steps() -> None:
-            for _ in range(STEPS_OF_LOOP):
+    def run_loop(self) -> None:
+        async def iterate() -> None:
+            for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
 
-        self.loop.run_until_complete(steps())
-        for call in [call for call in self.claiming if call.task.done()]:
-            self.claiming.remove(call)
+        self.loop.run_until_complete(iterate())
+        for call in [call for call in self.pending if call.task.done()]:
+            self.pending.remove(call)
             self.check_answer(call, call.task.result())
 
     def check_answer(self, call: Call, answer: typing.Any) -> None:
@@ -78,15 +80,15 @@
             return
         verdict = answer.unwrap().verdict
         if verdict is claims_state.ClaimVerdict.GRANTED:
-            assert call.key not in self.runs, "a key that was run is granted again"
-            assert call.key not in [other.key for other in self.held], "two holders of a key"
+            assert call.key not in self.runs, "claim granted for a key that was already run"
+            assert call.key not in [other.key for other in self.held], "key granted to two holders"
             call.claim = answer.unwrap().claim
             self.held.append(call)
         elif verdict is claims_state.ClaimVerdict.FINISHED:
             digest, body = self.runs[call.key]
             assert (call.digest, body) == (digest, answer.unwrap().outcome.body)
 
-    def on_loop(self, action: collections.abc.Callable[[], object]) -> None:
+    def call_on_loop(self, action: collections.abc.Callable[[], object]) -> None:
         async def run() -> None:
             action()
 
@@ -96,12 +98,12 @@
         entry=strategies.integers(0, 2),
         key=strategies.sampled_from(KEYS),
         digest=strategies.sampled_from(("d1", "d1", "d1", "d2")),
-        pump=strategies.booleans(),
+        run_loop=strategies.booleans(),
     )
-    def call(self, entry: int, key: str, digest: str, pump: bool) -> None:
-        self.on_loop(lambda: self.claiming.append(Call(self.services[entry], key, digest)))
-        if pump:
-            self.pump()
+    def call(self, entry: int, key: str, digest: str, run_loop: bool) -> None:
+        self.call_on_loop(lambda: self.pending.append(Call(self.services[entry], key, digest)))
+        if run_loop:
+            self.run_loop()
 
     @stateful.rule(faults=strategies.lists(strategies.sampled_from(claim_store.WRITE_FAULTS)))
     def writes_fail(self, faults: list[str]) -> None:
@@ -112,26 +114,26 @@
         self.store.read_faults = count
 
     @stateful.rule()
-    def late_writes_land(self) -> None:
-        self.store.land_late_writes()
-        self.pump()
+    def late_writes_are_applied(self) -> None:
+        self.store.apply_late_writes()
+        self.run_loop()
 
     @stateful.rule()
     def hanging_writes_proceed(self) -> None:
-        self.on_loop(self.store.release_hanging)
-        self.pump()
+        self.call_on_loop(self.store.release_hanging_writes)
+        self.run_loop()
 
     @stateful.rule()
-    def time_passes(self) -> None:
-        self.pump()
+    def tasks_run(self) -> None:
+        self.run_loop()
 
-    @stateful.precondition(lambda self: self.claiming)
+    @stateful.precondition(lambda self: self.pending)
     @stateful.rule(data=strategies.data())
-    def caller_vanishes(self, data: strategies.DataObject) -> None:
-        call = data.draw(strategies.sampled_from(self.claiming))
-        self.claiming.remove(call)
+    def caller_cancels(self, data: strategies.DataObject) -> None:
+        call = data.draw(strategies.sampled_from(self.pending))
+        self.pending.remove(call)
         call.task.cancel()
-        self.pump()
+        self.run_loop()
 
     @stateful.precondition(lambda self: self.held)
     @stateful.rule(data=strategies.data(), large=strategies.booleans())
@@ -140,19 +142,19 @@
         body = self.runs[call.key][1] * (20_000 if large else 1)
         self.runs[call.key] = (call.digest, body)
         outcome = claims_state.RecordedOutcome(status=200, headers=(), body=body)
-        self.on_loop(lambda: call.service.finish(call.claim, outcome))
-        self.pump()
+        self.call_on_loop(lambda: call.service.finish(call.claim, outcome))
+        self.run_loop()
 
     @stateful.precondition(lambda self: self.held)
     @stateful.rule(data=strategies.data())
     def holder_runs_and_crashes(self, data: strategies.DataObject) -> None:
         call = self.run_held(data)
-        self.forgotten.add(call.claim.nonce)
+        self.crashed_nonces.add(call.claim.nonce)
 
     def run_held(self, data: strategies.DataObject) -> Call:
         call = data.draw(strategies.sampled_from(self.held))
         self.held.remove(call)
-        assert call.key not in self.runs, "a key is run twice"
+        assert call.key not in self.runs, "key run twice"
         self.serial += 1
         self.runs[call.key] = (call.digest, b"%d" % self.serial)
         return call
@@ -162,8 +164,8 @@
     def holder_is_refused_and_releases(self, data: strategies.DataObject) -> None:
         call = data.draw(strategies.sampled_from(self.held))
         self.held.remove(call)
-        self.on_loop(lambda: call.service.release(call.claim))
-        self.pump()
+        self.call_on_loop(lambda: call.service.release(call.claim))
+        self.run_loop()
 
     def teardown(self) -> None:
         try:
@@ -176,35 +178,39 @@
                 patch.stop()
 
     def settle(self) -> None:
-        """Let the store work again and wait until nothing is pending."""
-        self.on_loop(self.store.heal)
+        """Clear all faults and run until no change is pending."""
+        self.call_on_loop(self.store.clear_faults)
         for _ in range(200):
-            self.pump()
+            self.run_loop()
             if not any(service.group.tasks for service in self.services):
                 break
-        self.store.land_late_writes()
-        assert not any(service.group.tasks for service in self.services), "changes still pending"
-        assert not self.claiming
+        self.store.apply_late_writes()
+        assert not any(service.group.tasks for service in self.services), (
+            "changes still pending after the store recovered"
+        )
+        assert not self.pending
 
     def check_records(self) -> None:
-        """Every record belongs to a holder or to a call that was run."""
-        holders = {call.claim.nonce for call in self.held}
+        """Check that every unfinished record belongs to a holder, live or crashed."""
+        holder_nonces = {call.claim.nonce for call in self.held}
         for name, stored in self.store.objects.items():
             if not name.startswith("claims/"):
                 continue
             for record in claims_state.ClaimShard.decode(stored.value).records.values():
                 if record.state is claims_state.ClaimState.CLAIMED:
-                    assert record.nonce in holders | self.forgotten, "a refused call keeps a key"
+                    assert record.nonce in holder_nonces | self.crashed_nonces, (
+                        "key of a refused call was not released"
+                    )
         for key in KEYS:
             self.check_repeat(key)
 
     def check_repeat(self, key: str) -> None:
-        """A repeat of a key that was run is not granted; a finished one gets its outcome."""
+        """Check that a claim for a key is granted only if the key is free."""
         digest = self.runs[key][0] if key in self.runs else "d1"
-        self.on_loop(lambda: self.claiming.append(Call(self.services[0], key, digest)))
+        self.call_on_loop(lambda: self.pending.append(Call(self.services[0], key, digest)))
         free = key not in self.runs and key not in [call.key for call in self.held]
         before = len(self.held)
-        self.pump()
+        self.run_loop()
         assert (len(self.held) > before) == free
 
 
--- a/tests/lib/claim_store.py
+++ b/tests/lib/claim_store.py
@@ -1,4 +1,4 @@
-"""An object store in memory that fails, conflicts, loses answers and lets writes land late."""
+"""An in-memory object store with injected failures, lost responses and late or hanging writes."""
 
 import asyncio
 import collections
@@ -9,25 +9,36 @@
 from masticward.transport import object_api
 
 UNAVAILABLE = "unavailable"
-LOST_BEFORE = "lost-before-effect"
-LOST_AFTER = "lost-after-effect"
-LOST_THEN_DOWN = "lost-after-effect-then-unreadable"
-LANDS_LATE = "lands-late"
-HANGS = "hangs"
-WRITE_FAULTS = (UNAVAILABLE, LOST_BEFORE, LOST_AFTER, LOST_THEN_DOWN, LANDS_LATE, HANGS)
+LOST_BEFORE_EFFECT = "lost-before-effect"
+LOST_AFTER_EFFECT = "lost-after-effect"
+LOST_THEN_UNREADABLE = "lost-after-effect-then-unreadable"
+LATE = "late"
+HANGING = "hanging"
+WRITE_FAULTS = (
+    UNAVAILABLE,
+    LOST_BEFORE_EFFECT,
+    LOST_AFTER_EFFECT,
+    LOST_THEN_UNREADABLE,
+    LATE,
+    HANGING,
+)
 
 
 class FaultyStore(object_api.ObjectStore):
-    """Applies the queued faults to the next writes and reads, one each."""
+    """Applies queued faults to the next operations, one fault per operation.
+
+    A late write is applied by ``apply_late_writes`` after its caller has received an error. A
+    hanging write continues after ``release_hanging_writes``.
+    """
 
     def __init__(self) -> None:
         self.objects: dict[str, object_api.StoredObject] = {}
-        self.versions = 0
+        self.last_version = 0
         self.write_faults: collections.deque[str] = collections.deque()
         self.read_faults = 0
         self.down = False
         self.writes = 0
-        self.late: list[tuple[str, bytes, int]] = []
+        self.late_writes: list[tuple[str, bytes, int]] = []
         self.released = asyncio.Event()
 
     async def get(
@@ -48,16 +59,18 @@
         fault = self.write_faults.popleft() if self.write_faults else ""
         if self.down or fault == UNAVAILABLE:
             return result.Failure(errors.StoreUnavailableError(name))
-        if fault == HANGS:
+        if fault == HANGING:
             await self.released.wait()
-        if fault == LANDS_LATE:
-            self.late.append((name, value, expected_version))
-        if fault in (LOST_BEFORE, LANDS_LATE):
+        if fault == LATE:
+            self.late_writes.append((name, value, expected_version))
+        if fault in (LOST_BEFORE_EFFECT, LATE):
             return result.Failure(errors.StoreAnswerLostError(name))
         written = self.write(name, value, expected_version)
-        if fault == LOST_THEN_DOWN:
+        if fault == LOST_THEN_UNREADABLE:
             self.read_faults = 1
-        if fault in (LOST_AFTER, LOST_THEN_DOWN) and isinstance(written, result.Success):
+        if fault in (LOST_AFTER_EFFECT, LOST_THEN_UNREADABLE) and isinstance(
+            written, result.Success
+        ):
             return result.Failure(errors.StoreAnswerLostError(name))
         return written
 
@@ -67,25 +80,27 @@
         current = self.objects[name].version if name in self.objects else 0
         if current != expected_version:
             return result.Failure(errors.VersionConflictError(name, current))
-        self.versions += 1
+        self.last_version += 1
         self.writes += 1
-        self.objects[name] = object_api.StoredObject(name=name, version=self.versions, value=value)
-        return result.Success(self.versions)
-
-    def land_late_writes(self) -> None:
-        late, self.late = self.late, []
-        for name, value, expected_version in late:
+        self.objects[name] = object_api.StoredObject(
+            name=name, version=self.last_version, value=value
+        )
+        return result.Success(self.last_version)
+
+    def apply_late_writes(self) -> None:
+        late_writes, self.late_writes = self.late_writes, []
+        for name, value, expected_version in late_writes:
             self.write(name, value, expected_version)
 
-    def release_hanging(self) -> None:
+    def release_hanging_writes(self) -> None:
         self.released.set()
         self.released = asyncio.Event()
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         self.down = False
         self.read_faults = 0
         self.write_faults.clear()
-        self.release_hanging()
+        self.release_hanging_writes()
 
     async def watch(
         self, name: str, known_version: int, deadline: float
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -1,4 +1,4 @@
-"""Guards the room, the outcomes and the group commit of claims, and the router's use of them."""
+"""Tests of claim shard limits, recorded outcomes, group commit and keyed calls in the router."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 DAY_SECONDS = 24 * 3600.0
 
 
-def build_record(state: claims_state.ClaimState, age_seconds: float) -> claims_state.ClaimRecord:
+def make_record(state: claims_state.ClaimState, age_seconds: float) -> claims_state.ClaimRecord:
     body = b"x" * 9000 if state is claims_state.ClaimState.FINISHED else b""
     return claims_state.ClaimRecord(
         request_digest="d",
@@ -28,48 +28,48 @@
     )
 
 
-def fill(state: claims_state.ClaimState, age_seconds: float) -> claims_state.ClaimShard:
-    """Return a shard that has no room for one more claim."""
+def make_full_shard(state: claims_state.ClaimState, age_seconds: float) -> claims_state.ClaimShard:
+    """Return a shard with no space for another claim."""
     shard = claims_state.ClaimShard.empty()
-    record = build_record(state, age_seconds)
+    record = make_record(state, age_seconds)
     size = claims_state.reserved_size_bytes("k0000", record)
     for index in range((claims_state.SHARD_LIMIT_BYTES - 2) // size):
         shard.put(f"k{index:04}", record)
     filler = claims_state.SHARD_LIMIT_BYTES - shard.size_bytes - 400
     if filler > 0:
-        record = build_record(claims_state.ClaimState.CLAIMED, 0)
+        record = make_record(claims_state.ClaimState.CLAIMED, 0)
         shard.put("f" * filler, record)
     return shard
 
 
-class ShardRoomTest(unittest.TestCase):
+class ShardLimitTest(unittest.TestCase):
     claim = claims_state.Claim("new", "d", "n")
 
-    def test_only_old_finished_records_are_pruned_and_only_when_full(self) -> None:
-        """Fails if a key that may still be repeated, or an unfinished one, is forgotten."""
+    def test_only_expired_finished_records_of_a_full_shard_are_pruned(self) -> None:
+        """Fails if pruning removes an unfinished record or one within the retention period."""
         for state, age, granted in (
             (claims_state.ClaimState.FINISHED, DAY_SECONDS + 60, True),
             (claims_state.ClaimState.FINISHED, DAY_SECONDS - 60, False),
             (claims_state.ClaimState.CLAIMED, DAY_SECONDS * 9, False),
         ):
-            shard = fill(state, age)
+            shard = make_full_shard(state, age)
             count = len(shard.records)
             verdict = shard.claim(self.claim, time.time())
             self.assertEqual(granted, verdict is claims_state.ClaimVerdict.GRANTED, (state, age))
             self.assertEqual(granted, len(shard.records) < count)
         shard = claims_state.ClaimShard.empty()
-        shard.put("k", build_record(claims_state.ClaimState.FINISHED, DAY_SECONDS * 9))
+        shard.put("k", make_record(claims_state.ClaimState.FINISHED, DAY_SECONDS * 9))
         shard.claim(self.claim, time.time())
         self.assertIn("k", shard.records)
 
-    def test_size_bound_holds_for_the_encoded_object(self) -> None:
+    def test_size_limit_holds_for_the_encoded_object(self) -> None:
         for state in claims_state.ClaimState:
-            shard = fill(state, 0)
+            shard = make_full_shard(state, 0)
             self.assertLess(len(shard.encode()), claims_state.SHARD_LIMIT_BYTES)
-            again = claims_state.ClaimShard.decode(shard.encode())
-            self.assertEqual(shard.size_bytes, again.size_bytes)
+            decoded = claims_state.ClaimShard.decode(shard.encode())
+            self.assertEqual(shard.size_bytes, decoded.size_bytes)
 
-    def test_every_record_survives_and_takes_half_the_bytes_of_json(self) -> None:
+    def test_records_round_trip_in_less_than_60_percent_of_their_json_size(self) -> None:
         outcome = claims_state.RecordedOutcome(
             status=201, headers=(("a", "b"),), body=b"\xff\x00" * 200
         )
@@ -89,12 +89,12 @@
                 key,
                 claims_state.ClaimRecord(request_digest=digests[0], **fields, **changes),
             )
-        again = claims_state.ClaimShard.decode(shard.encode())
-        self.assertEqual(shard.records, again.records)
-        self.assertEqual(shard.size_bytes, again.size_bytes)
+        decoded = claims_state.ClaimShard.decode(shard.encode())
+        self.assertEqual(shard.records, decoded.records)
+        self.assertEqual(shard.size_bytes, decoded.size_bytes)
         json = msgspec.json.encode(shard.records)
         self.assertLess(len(shard.encode()), 0.6 * len(json))
-        # Fails if an upgrade forgets the keys that an earlier version recorded.
+        # Guards against an upgrade that loses the keys recorded as JSON by earlier releases.
         earlier = claims_state.ClaimShard.decode(json)
         self.assertEqual(shard.records, earlier.records)
         self.assertEqual(shard.size_bytes, earlier.size_bytes)
@@ -109,7 +109,7 @@
     def setUp(self) -> None:
         self.store = claim_store.FaultyStore()
         self.service = claims.ClaimService(self.store, "entry-1")
-        # One shard, so that the claims of a test meet in one object.
+        # Use a single shard, so that all claims of a test share one object.
         patch = unittest.mock.patch.object(claims_state, "SHARD_COUNT", 1)
         patch.start()
         self.addCleanup(patch.stop)
@@ -128,7 +128,9 @@
         self.assertEqual({claims_state.ClaimVerdict.GRANTED}, verdicts)
         self.assertEqual(1, self.store.writes)
 
-    async def test_outcomes_of_every_size_are_replayed_and_no_object_exceeds_1_mb(self) -> None:
+    async def test_outcomes_of_every_size_are_replayed_and_all_objects_stay_below_1_mb(
+        self,
+    ) -> None:
         for size in (0, 16 * 1024, 16 * 1024 + 1, claims_state.OUTCOME_LIMIT_BYTES):
             claim = (await self.claim(f"k{size}")).unwrap().claim
             body = b"\xff" * size
@@ -142,15 +144,15 @@
         self.assertLess(max(sizes.values()), 1_000_000)
         self.assertEqual(2, len([name for name in sizes if name.startswith("outcomes/")]))
 
-    async def test_full_shard_refuses_and_still_takes_outcomes(self) -> None:
+    async def test_full_shard_refuses_claims_but_accepts_outcomes(self) -> None:
         claim = (await self.claim("held")).unwrap().claim
         shard = claims_state.ClaimShard.decode(self.store.objects["claims/0000"].value)
         held = shard.records[claim.key_digest]
-        full = fill(claims_state.ClaimState.CLAIMED, 0)
-        full.records.pop("k0000")
-        full.records[claim.key_digest] = held
+        full_shard = make_full_shard(claims_state.ClaimState.CLAIMED, 0)
+        full_shard.records.pop("k0000")
+        full_shard.records[claim.key_digest] = held
         self.store.objects["claims/0000"] = object_api.StoredObject(
-            name="claims/0000", version=9, value=full.encode()
+            name="claims/0000", version=9, value=full_shard.encode()
         )
         self.assertIsInstance(await self.claim("new"), result.Failure)
         outcome = claims_state.RecordedOutcome(status=200, headers=(), body=b"x" * 9000)
@@ -159,8 +161,8 @@
         shard = claims_state.ClaimShard.decode(self.store.objects["claims/0000"].value)
         self.assertLessEqual(shard.size_bytes, claims_state.SHARD_LIMIT_BYTES)
 
-    async def test_outage_costs_one_retry_at_a_time(self) -> None:
-        """Fails if every shard with a pending change retries on its own during an outage."""
+    async def test_outage_is_retried_for_one_shard_at_a_time(self) -> None:
+        """Fails if each shard with a pending change retries independently during an outage."""
         reads = 0
 
         async def get(name: str, deadline: float) -> object:
@@ -183,8 +185,8 @@
         records = [claims_state.ClaimShard.decode(o.value) for o in self.store.objects.values()]
         self.assertEqual([{}], [dict(x) for x in {tuple(r.records) for r in records}])
 
-    async def test_last_written_value_saves_the_read_of_a_finish(self) -> None:
-        """Fails if recording an outcome reads a shard that nobody else has written."""
+    async def test_finish_reuses_the_last_written_value_without_a_read(self) -> None:
+        """Fails if recording an outcome reads a shard that no other entry has written."""
         claim = (await self.claim("k")).unwrap().claim
         outcome = claims_state.RecordedOutcome(status=200, headers=(), body=b"x")
         with unittest.mock.patch.object(self.store, "get", wraps=self.store.get) as read:
@@ -193,7 +195,7 @@
         self.assertEqual(outcome, (await self.claim("k")).unwrap().outcome)
 
     async def test_another_entry_may_write_between_claim_and_finish(self) -> None:
-        """Fails if an entry overwrites, or answers from, a value that is no longer current."""
+        """Fails if an entry overwrites another entry's write or answers from an outdated value."""
         other = claims.ClaimService(self.store, "entry-2")
         held = (await other.claim("t", "s", "k2", "d", time.monotonic() + 10)).unwrap().claim
         own = (await self.claim("k1")).unwrap().claim
@@ -208,8 +210,8 @@
         states = sorted(record.state for record in shard.records.values())
         self.assertEqual(["claimed", "finished", "finished"], states)
 
-    async def test_kept_values_are_bounded(self) -> None:
-        """Fails if every shard that was ever written stays in the entry's memory."""
+    async def test_cached_shard_values_are_bounded(self) -> None:
+        """Fails if an entry caches every shard that it has written, or large values."""
         with (
             unittest.mock.patch.object(claims_state, "SHARD_COUNT", 4096),
             unittest.mock.patch.object(claims, "KNOWN_SHARDS", 5),
@@ -228,10 +230,10 @@
         self.store = claim_store.FaultyStore()
         return entry_fakes.EntryFixture(*steps, claims=claims.ClaimService(self.store, "entry-1"))
 
-    async def test_repeat_of_a_finished_key_is_replayed_and_not_run(self) -> None:
+    async def test_repeat_of_a_finished_key_replays_the_outcome_without_a_run(self) -> None:
         fixture = self.build(entry_fakes.answer(b"seat 7"))
         sinks = [await fixture.call("/v1/book", key="k")]
-        # Another entry must see the outcome as soon as the caller has its response.
+        # Other entries must find the outcome as soon as the caller has its response.
         self.assertIn(b"finished", next(iter(self.store.objects.values())).value)
         sinks.append(await fixture.call("/v1/book", key="k"))
         self.assertEqual([(200, b"seat 7")] * 2, [(sink.status, sink.body) for sink in sinks])
@@ -241,19 +243,19 @@
         sink = await fixture.call("/v1/book", key="k", team="papaya")
         self.assertEqual(2, len(fixture.attempts.runs))
 
-    async def test_repeat_of_a_key_with_unknown_outcome_is_unknown(self) -> None:
+    async def test_repeat_of_a_key_with_unknown_outcome_is_not_run(self) -> None:
         fixture = self.build(entry_fakes.answer(b"x", cut=True))
         for status in (502, 409):
             sink = await fixture.call("/v1/book", key="k")
             self.assertEqual((status, "unknown"), (sink.status, sink.outcome))
         self.assertEqual(1, len(fixture.attempts.runs))
 
-    async def test_key_of_a_refused_call_is_free_again(self) -> None:
+    async def test_key_of_a_refused_call_is_released(self) -> None:
         fixture = self.build(entry_fakes.refuse("deadline-passed"), entry_fakes.answer(b"ok"))
         self.assertEqual("not-run", (await fixture.call("/v1/book", key="k")).outcome)
         self.assertEqual("complete", (await fixture.call("/v1/book", key="k")).outcome)
 
-    async def test_outcome_is_recorded_for_a_caller_that_left_or_waited_too_long(self) -> None:
+    async def test_outcome_is_recorded_after_the_caller_disconnected_or_timed_out(self) -> None:
         gate = asyncio.Event()
         fixture = self.build(entry_fakes.answer(b"seat", gate=gate))
         left = fixture.start("/v1/book", key="left")
@@ -267,8 +269,8 @@
             self.assertEqual(b"seat", (await fixture.call("/v1/book", key=key)).body)
         self.assertEqual(2, len(fixture.attempts.runs))
 
-    async def test_key_of_a_cancelled_model_call_stays_taken(self) -> None:
-        """Fails if a call that may have run gives up its claim because its caller left."""
+    async def test_key_of_a_cancelled_model_call_stays_claimed(self) -> None:
+        """Fails if a call that may have run releases its claim because its caller disconnected."""
         fixture = self.build(entry_fakes.answer(b"x", gate=asyncio.Event()))
         call = fixture.start("/v1/act", key="k")
         await entry_fakes.until(lambda: fixture.attempts.runs)
--- a/tests/unit/test_frames.py
+++ b/tests/unit/test_frames.py
@@ -1,4 +1,4 @@
-"""Guards against a response made of cut, crossed, late or damaged frames that counts as whole."""
+"""Tests that truncated, misrouted, late or corrupted frames never form a complete response."""
 
 import unittest
 
@@ -20,59 +20,59 @@
         with self.assertRaises(errors.FrameError):
             assemble(received)
 
-    def test_whole_response_is_complete_and_exact(self) -> None:
+    def test_valid_frames_give_the_complete_response(self) -> None:
         self.assertEqual(
             (b"".join(attempt_fakes.PARTS), True), assemble(attempt_fakes.whole_frames())
         )
 
-    def test_cut_at_every_position_is_not_complete(self) -> None:
-        whole = attempt_fakes.whole_frames()
-        for position in range(len(whole)):
-            self.assertFalse(assemble(whole[:position])[1], position)
+    def test_truncated_response_is_incomplete_at_every_position(self) -> None:
+        complete = attempt_fakes.whole_frames()
+        for position in range(len(complete)):
+            self.assertFalse(assemble(complete[:position])[1], position)
 
-    def test_lost_repeated_or_swapped_frames_are_rejected_at_every_position(self) -> None:
-        whole = attempt_fakes.whole_frames()
-        for position in range(len(whole)):
-            if position < len(whole) - 1:
-                self.assert_rejected(whole[:position] + whole[position + 1 :])
-                swapped = list(whole)
-                swapped[position : position + 2] = reversed(whole[position : position + 2])
+    def test_missing_repeated_or_swapped_frames_are_rejected_at_every_position(self) -> None:
+        complete = attempt_fakes.whole_frames()
+        for position in range(len(complete)):
+            if position < len(complete) - 1:
+                self.assert_rejected(complete[:position] + complete[position + 1 :])
+                swapped = list(complete)
+                swapped[position : position + 2] = reversed(complete[position : position + 2])
                 self.assert_rejected(swapped)
-            self.assert_rejected(whole[: position + 1] + whole[position:])
+            self.assert_rejected(complete[: position + 1] + complete[position:])
 
     def test_frame_after_the_end_is_rejected(self) -> None:
-        whole = attempt_fakes.whole_frames()
-        late = masticward_pb2.RunFrame(attempt_id="a-1", sequence=len(whole))
+        complete = attempt_fakes.whole_frames()
+        late = masticward_pb2.RunFrame(attempt_id="a-1", sequence=len(complete))
         late.chunk.data = b"late"
-        self.assert_rejected([*whole, late])
+        self.assert_rejected([*complete, late])
 
     def test_frame_of_another_attempt_is_rejected_at_every_position(self) -> None:
-        whole, other = attempt_fakes.whole_frames(), attempt_fakes.whole_frames("a-2")
-        for position in range(len(whole)):
-            self.assert_rejected([*whole[:position], other[position]])
+        complete, other = attempt_fakes.whole_frames(), attempt_fakes.whole_frames("a-2")
+        for position in range(len(complete)):
+            self.assert_rejected([*complete[:position], other[position]])
 
-    def test_lost_frame_with_renumbered_followers_is_found_by_the_end(self) -> None:
-        """Fails if only sequence numbers are checked, and not count, length and digest."""
-        whole = attempt_fakes.whole_frames()
-        for position in range(2, len(whole) - 1):
-            received = whole[:position] + whole[position + 1 :]
+    def test_missing_frame_with_renumbered_successors_is_rejected_at_the_end(self) -> None:
+        """Fails if only sequence numbers are verified, without the count, length and digest."""
+        complete = attempt_fakes.whole_frames()
+        for position in range(2, len(complete) - 1):
+            received = complete[:position] + complete[position + 1 :]
             for sequence, frame in enumerate(received):
                 frame.sequence = sequence
             self.assert_rejected(received)
-            whole = attempt_fakes.whole_frames()
+            complete = attempt_fakes.whole_frames()
 
-    def test_each_figure_of_the_end_is_checked(self) -> None:
+    def test_each_field_of_the_end_is_verified(self) -> None:
         for field in ("frame_count", "length", "digest"):
-            whole = attempt_fakes.whole_frames()
-            setattr(whole[-1].end, field, getattr(whole[-1].end, field) ^ 1)
-            self.assert_rejected(whole)
+            complete = attempt_fakes.whole_frames()
+            setattr(complete[-1].end, field, getattr(complete[-1].end, field) ^ 1)
+            self.assert_rejected(complete)
 
-    def test_damaged_body_is_rejected(self) -> None:
-        whole = attempt_fakes.whole_frames()
-        whole[2].chunk.data = b"fIrst"
-        self.assert_rejected(whole)
+    def test_corrupted_body_is_rejected(self) -> None:
+        complete = attempt_fakes.whole_frames()
+        complete[2].chunk.data = b"fIrst"
+        self.assert_rejected(complete)
 
-    def test_not_run_is_believed_only_before_the_head(self) -> None:
+    def test_not_run_is_accepted_only_before_the_head(self) -> None:
         refused = masticward_pb2.Refused(reason="at-limit")
         failed = masticward_pb2.Failed(may_have_run=False)
         for position in range(len(attempt_fakes.whole_frames()) - 1):
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,8 @@
-"""Guards against work for instances that are gone, leaving or silent, with a log as oracle."""
+"""Model-based tests of the membership view.
+
+They guard against work for instances that are gone, leaving or unresponsive. The oracle derives the
+expected members from the complete history of lists, exchanges and suspicions.
+"""
 
 import unittest
 
@@ -12,39 +16,41 @@
 from tests.lib import platforms
 
 IDS = ("a1", "a2", "a3")
-ONE_ID = strategies.sampled_from(IDS)
-START = 100.0
-# Below RECORD_RETENTION_SECONDS, so the history need not say what the view may have forgotten.
-LONGEST_SECONDS = membership.RECORD_RETENTION_SECONDS - 15.0
-TIMES = strategies.sampled_from((0.1, 1.0, 4.0, 9.9, 10.0, 11.0))
+INSTANCE_IDS = strategies.sampled_from(IDS)
+START_SECONDS = 100.0
+# Shorter than RECORD_RETENTION_SECONDS, so that the oracle need not model deleted records.
+MAXIMUM_DURATION_SECONDS = membership.RECORD_RETENTION_SECONDS - 15.0
+WAITS_SECONDS = strategies.sampled_from((0.1, 1.0, 4.0, 9.9, 10.0, 11.0))
 
 
 class MembershipMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Feeds lists, exchanges and suspicions; the oracle answers from the whole history."""
+    """Applies lists, exchanges and suspicions, and compares the view with the whole history."""
 
     def __init__(self) -> None:
         super().__init__()
         self.view = membership.MembershipView(platforms.make_entry("own"))
-        self.now = START
+        self.now = START_SECONDS
         self.lists: list[tuple[float, dict[str, bool]]] = []
         self.contacts: dict[str, list[float]] = {name: [] for name in IDS}
         self.announcements: dict[str, list[tuple[int, bool]]] = {name: [] for name in IDS}
         self.members_by_revision: dict[int, tuple[str, ...]] = {}
         self.suspected: dict[str, float] = {}
-        self.answered_sends: dict[str, list[float]] = {name: [] for name in IDS}
+        self.answered_sent_at: dict[str, list[float]] = {name: [] for name in IDS}
 
-    @hypothesis.stateful.precondition(lambda self: self.now < START + LONGEST_SECONDS)
-    @hypothesis.stateful.rule(seconds=TIMES)
+    @hypothesis.stateful.precondition(
+        lambda self: self.now < START_SECONDS + MAXIMUM_DURATION_SECONDS
+    )
+    @hypothesis.stateful.rule(seconds=WAITS_SECONDS)
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
-    def tick(self) -> None:
-        """Give each event a time of its own, so that the history has one order."""
+    def advance_clock(self) -> None:
+        """Give each event a distinct time, so that the history is totally ordered."""
         self.now += 0.001
 
-    @hypothesis.stateful.rule(listed=strategies.dictionaries(ONE_ID, strategies.booleans()))
+    @hypothesis.stateful.rule(listed=strategies.dictionaries(INSTANCE_IDS, strategies.booleans()))
     def read_list(self, listed: dict[str, bool]) -> None:
-        self.tick()
+        self.advance_clock()
         self.lists.append((self.now, listed))
         self.view.apply_list(
             [platforms.make_agent(name, leaving=leaving) for name, leaving in listed.items()],
@@ -52,36 +58,41 @@
         )
 
     @hypothesis.stateful.rule(
-        name=ONE_ID,
+        name=INSTANCE_IDS,
         incarnation=strategies.integers(min_value=1, max_value=3),
         leaving=strategies.booleans(),
-        took=strategies.sampled_from((0.0, 0.5, 3.0)),
+        round_trip_seconds=strategies.sampled_from((0.0, 0.5, 3.0)),
     )
-    def answer_exchange(self, name: str, incarnation: int, leaving: bool, took: float) -> None:
-        self.tick()
-        known = max((number for number, _ in self.announcements[name]), default=0)
+    def answer_exchange(
+        self, name: str, incarnation: int, leaving: bool, round_trip_seconds: float
+    ) -> None:
+        self.advance_clock()
+        latest = max((number for number, _ in self.announcements[name]), default=0)
         self.view.record_exchange(
-            platforms.make_agent(name, leaving=leaving), incarnation, self.now - took, self.now
+            platforms.make_agent(name, leaving=leaving),
+            incarnation,
+            self.now - round_trip_seconds,
+            self.now,
         )
-        if incarnation < known:
+        if incarnation < latest:
             return
         self.announcements[name].append((incarnation, leaving))
         self.contacts[name].append(self.now)
-        self.answered_sends[name].append(self.now - took)
-        if name in self.suspected and self.now - took >= self.suspected[name]:
+        self.answered_sent_at[name].append(self.now - round_trip_seconds)
+        if name in self.suspected and self.now - round_trip_seconds >= self.suspected[name]:
             del self.suspected[name]
 
-    @hypothesis.stateful.rule(name=ONE_ID)
+    @hypothesis.stateful.rule(name=INSTANCE_IDS)
     def suspect(self, name: str) -> None:
-        self.tick()
-        before = self.view.is_suspected(name)
-        newly = self.view.suspect(name, self.now)
-        if newly or before:
+        self.advance_clock()
+        suspected_before = self.view.is_suspected(name)
+        newly_suspected = self.view.suspect(name, self.now)
+        if newly_suspected or suspected_before:
             self.suspected[name] = self.now
 
     @hypothesis.stateful.rule()
     def expire(self) -> None:
-        """Brings the revision up to date: a change of the members must change it."""
+        """Apply time-outs and check that two sets of members never share a revision."""
         self.view.expire(self.now)
         ids = tuple(instance.id for instance in self.view.members(self.now))
         assert ids == self.members_by_revision.setdefault(self.view.revision, ids)
@@ -95,14 +106,14 @@
         for read_at, listed in self.lists:
             if name in listed:
                 absent_since = None
-            elif absent_since is None and self.was_known(name, read_at):
+            elif absent_since is None and self.was_recorded(name, read_at):
                 absent_since = read_at
         return absent_since is None or self.now < absent_since + 10.0
 
-    def was_known(self, name: str, moment: float) -> bool:
-        """Tell whether the instance was listed or in contact before a moment."""
-        listed = any(name in names for read_at, names in self.lists if read_at <= moment)
-        return listed or any(contact <= moment for contact in self.contacts[name])
+    def was_recorded(self, name: str, time: float) -> bool:
+        """Return whether the instance was listed or had answered an exchange by then."""
+        listed = any(name in names for read_at, names in self.lists if read_at <= time)
+        return listed or any(contact <= time for contact in self.contacts[name])
 
     def expected_leaving(self, name: str) -> bool:
         latest = max((number for number, _ in self.announcements[name]), default=0)
@@ -111,7 +122,7 @@
         return announced or bool(listed and listed[-1] and self.lists[-1][1].get(name, False))
 
     @hypothesis.stateful.invariant()
-    def agrees_with_the_history(self) -> None:
+    def view_matches_the_history(self) -> None:
         members = {instance.id: instance for instance in self.view.members(self.now)}
         assert "own" in members
         for name in IDS:
@@ -127,7 +138,7 @@
 
 class OwnInstanceTest(unittest.TestCase):
     def test_own_instance_keeps_its_addresses(self) -> None:
-        """Fails if a lagging list replaces the address that a process gives to its peers."""
+        """Fails if an outdated list replaces the address that a process announces to its peers."""
         own = platforms.make_agent("own", peer_address="127.0.0.1:5")
         view = membership.MembershipView(own)
         view.apply_list([platforms.make_agent("own", leaving=True)], 1.0)
@@ -135,8 +146,8 @@
         self.assertEqual(expected, view.members(1.0))
         self.assertFalse(view.suspect("own", 2.0))
 
-    def test_absent_instances_are_forgotten(self) -> None:
-        """Fails if replaced instances stay in memory for ever."""
+    def test_records_of_absent_instances_are_deleted(self) -> None:
+        """Fails if the records of replaced instances accumulate in memory."""
         view = membership.MembershipView(platforms.make_entry("own"))
         for number in range(5):
             view.apply_list([platforms.make_agent(f"a{number}")], 100.0 * number)
--- a/tests/unit/test_versions.py
+++ b/tests/unit/test_versions.py
@@ -1,4 +1,8 @@
-"""Guards against versions that fall and against damaged values, with an oracle of the maximum."""
+"""Model-based tests of VersionStore.
+
+They guard against versions that decrease and against adopting corrupted values. The oracle is the
+maximum of the valid versions.
+"""
 
 import hypothesis
 import hypothesis.stateful
@@ -14,7 +18,7 @@
 
 
 class VersionMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Offers versions in any order; the oracle keeps the greatest valid one of each kind."""
+    """Offers versions in any order. The oracle is the greatest valid version of each kind."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,35 +29,35 @@
     @hypothesis.stateful.rule(version=VERSIONS)
     def offer_configuration(self, version: int) -> None:
         value = msgspec.structs.replace(platforms.make_configuration(), version=version)
-        taken = self.store.adopt_configuration(msgspec.json.encode(value))
+        adopted = self.store.adopt_configuration(msgspec.json.encode(value))
         if version <= 0:
-            assert isinstance(taken, result.Failure)
+            assert isinstance(adopted, result.Failure)
             return
-        assert taken.unwrap() == (version > self.greatest_configuration)
+        assert adopted.unwrap() == (version > self.greatest_configuration)
         self.greatest_configuration = max(self.greatest_configuration, version)
 
     @hypothesis.stateful.rule(version=VERSIONS)
     def offer_operations(self, version: int) -> None:
         value = configuration.OperationsState(version=version, zones_out=(f"zone-{version}",))
-        taken = self.store.adopt_operations(msgspec.json.encode(value))
+        adopted = self.store.adopt_operations(msgspec.json.encode(value))
         if version <= 0:
-            assert isinstance(taken, result.Failure)
+            assert isinstance(adopted, result.Failure)
             return
-        assert taken.unwrap() == (version > self.greatest_operations)
+        assert adopted.unwrap() == (version > self.greatest_operations)
         self.greatest_operations = max(self.greatest_operations, version)
 
-    @hypothesis.stateful.rule(cut=strategies.integers(min_value=0, max_value=40))
-    def offer_damaged(self, cut: int) -> None:
-        whole = msgspec.json.encode(
+    @hypothesis.stateful.rule(length=strategies.integers(min_value=0, max_value=40))
+    def offer_corrupted(self, length: int) -> None:
+        encoded = msgspec.json.encode(
             msgspec.structs.replace(platforms.make_configuration(), version=100)
         )
-        assert isinstance(self.store.adopt_configuration(whole[:cut]), result.Failure)
+        assert isinstance(self.store.adopt_configuration(encoded[:length]), result.Failure)
         assert isinstance(
-            self.store.adopt_operations(b'{"version": "100"}'[: cut + 1]), result.Failure
+            self.store.adopt_operations(b'{"version": "100"}'[: length + 1]), result.Failure
         )
 
     @hypothesis.stateful.invariant()
-    def holds_the_greatest(self) -> None:
+    def greatest_version_is_held(self) -> None:
         assert self.store.config_version == self.greatest_configuration
         assert self.store.operations_version == self.greatest_operations
         if self.store.configuration is not None:
