--- a/src/masticward/coordination/request_lifecycle.py
+++ b/src/masticward/coordination/request_lifecycle.py
@@ -63,7 +63,7 @@
         *,
         call: work.CallRequest,
         route: route_table.Route,
-        reservation: entry_queue.Reservation,
+        reservation: entry_queue.QueueReservation,
         sink: response_sink.ResponseSink,
         record: explain.RequestRecord,
         idempotency_key: str,
--- a/src/masticward/coordination/router.py
+++ b/src/masticward/coordination/router.py
@@ -179,7 +179,7 @@
         except errors.QueueFullError as error:
             await lifecycle.end_refused(refusals.queue_full(error))
             return
-        self.context.budget.note_request()
+        self.context.budget.record_request()
         self.lifecycles[admission.request_id] = lifecycle
         lifecycle.task = self.group.spawn(lifecycle.run(), f"request {admission.request_id}")
         lifecycle.task.add_done_callback(
--- a/src/masticward/state/entry_queue.py
+++ b/src/masticward/state/entry_queue.py
@@ -8,18 +8,18 @@
 ENTRY_SCOPE = "entry"
 
 
-class TeamReservations:
+class TeamQueueReservations:
     """Waiting requests of one team in order of arrival, and the size of all its bodies."""
 
     __slots__ = ("body_bytes", "open_reservations", "waiting")
 
     def __init__(self) -> None:
-        self.waiting: dict[str, Reservation] = {}
+        self.waiting: dict[str, QueueReservation] = {}
         self.body_bytes = 0
         self.open_reservations = 0
 
 
-class Reservation:
+class QueueReservation:
     """The share of the limits that one request uses, from its head to its outcome."""
 
     __slots__ = ("body_bytes", "queue", "released", "request_id", "team")
@@ -71,16 +71,16 @@
     ) -> None:
         self.limits = limits
         self.on_evict = on_evict
-        self.teams: dict[str, TeamReservations] = {}
+        self.teams: dict[str, TeamQueueReservations] = {}
         self.waiting = 0
         self.body_bytes = 0
 
-    def open(self, team: str, request_id: str) -> Reservation:
+    def open(self, team: str, request_id: str) -> QueueReservation:
         """Return an empty reservation for a new request."""
-        self.teams.setdefault(team, TeamReservations()).open_reservations += 1
-        return Reservation(self, team, request_id)
+        self.teams.setdefault(team, TeamQueueReservations()).open_reservations += 1
+        return QueueReservation(self, team, request_id)
 
-    def reserve_bytes(self, reservation: Reservation, size: int) -> None:
+    def reserve_bytes(self, reservation: QueueReservation, size: int) -> None:
         """Add bytes to a reservation. Raises QueueFullError, leaving the reservation unchanged."""
         if reservation.released:
             raise errors.QueueFullError(ENTRY_SCOPE, "the request was replaced")
@@ -98,7 +98,7 @@
         self.body_bytes += size
         reservation.body_bytes += size
 
-    def enter_queue(self, reservation: Reservation) -> None:
+    def enter_queue(self, reservation: QueueReservation) -> None:
         """Count a request as waiting. Raises QueueFullError, leaving the queue unchanged."""
         if reservation.released:
             raise errors.QueueFullError(ENTRY_SCOPE, "the request was replaced")
@@ -115,7 +115,7 @@
             )
         self.add_waiting(reservation)
 
-    def add_waiting(self, reservation: Reservation) -> None:
+    def add_waiting(self, reservation: QueueReservation) -> None:
         """Count a request as waiting unless it is counted already. Does not check the limits."""
         team = self.teams.get(reservation.team)
         if (
@@ -126,13 +126,13 @@
             team.waiting[reservation.request_id] = reservation
             self.waiting += 1
 
-    def leave_queue(self, reservation: Reservation) -> None:
+    def leave_queue(self, reservation: QueueReservation) -> None:
         """Stop counting a request as waiting, if it is."""
         team = self.teams.get(reservation.team)
         if team is not None and team.waiting.pop(reservation.request_id, None) is not None:
             self.waiting -= 1
 
-    def release(self, reservation: Reservation) -> None:
+    def release(self, reservation: QueueReservation) -> None:
         """Release what a reservation uses. Idempotent."""
         if reservation.released:
             return
@@ -152,7 +152,7 @@
         reach. Returns whether a request was evicted.
         """
 
-        def size_of(team: TeamReservations) -> int:
+        def size_of(team: TeamQueueReservations) -> int:
             return team.body_bytes if by_bytes else len(team.waiting)
 
         candidates = [team for team in self.teams.values() if team.waiting]
--- a/src/masticward/state/retry_budget.py
+++ b/src/masticward/state/retry_budget.py
@@ -14,7 +14,7 @@
         self.ratio = ratio
         self.tokens = BURST_TOKENS
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Add ``ratio`` tokens for one request, up to BURST_TOKENS."""
         self.tokens = min(BURST_TOKENS, self.tokens + self.ratio)
 
