--- a/src/masticward/gateway/__init__.py
+++ b/src/masticward/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: the program between the platform's clients and its endpoints."""
+"""The gateway: the reverse proxy between the platform's clients and its endpoints."""
--- a/src/masticward/gateway/calls.py
+++ b/src/masticward/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints on kept connections."""
+"""HTTP calls to endpoints over pooled connections."""
 
 import asyncio
 import math
@@ -12,34 +12,37 @@
 from masticward.transport import http1
 from masticward.utils import addresses, clocks
 
-# One round trip takes a few milliseconds; a dropped opening packet is sent again after 1 s.
+# A round trip takes a few milliseconds; waiting longer for a lost SYN gains nothing, because it is
+# retransmitted only after 1 s.
 CONNECT_TIMEOUT_SECONDS = 0.5
-# Kept connections are given up this much before the endpoint's announced timeout.
+# Idle connections are closed this long before the keep-alive timeout that the endpoint announces.
 KEEP_ALIVE_MARGIN_SECONDS = 0.7
-# Without an announced timeout.
+# Used when the endpoint announces no keep-alive timeout.
 DEFAULT_IDLE_SECONDS = 3.0
-# Longer announced timeouts gain nothing: each kept connection counts against max_connections.
+# Keeping connections idle for longer gains nothing: each counts against max_connections.
 MAX_IDLE_SECONDS = 15.0
-# Some endpoints drop idle connections without notice. After such a loss, connections of that
-# service that rested half as long are trusted, and twice as long after each further span.
+# Some endpoints drop idle connections without notice. After such a drop, connections of that
+# service are reused only if they were idle for at most this fraction of that time. The limit
+# doubles after each further period.
 REUSE_LIMIT_FRACTION = 0.5
 MIN_REUSE_LIMIT_SECONDS = 0.1
 REUSE_LIMIT_DOUBLING_SECONDS = 10.0
-# The shortest trust is longer than any kept rest after this many doublings.
+# After this many doublings even the shortest limit exceeds MAX_IDLE_SECONDS.
 MAX_REUSE_LIMIT_DOUBLINGS = 8.0
 MAX_IDLE_CONNECTIONS = 24
-# Idle connections of all gateways take at most this part of what an endpoint accepts.
+# Largest fraction of an endpoint's max_connections that all gateways together keep idle.
 IDLE_CONNECTIONS_FRACTION = 0.5
-# A reused address that answers late belongs to another request; more than this is a fault.
-STRAY_ANSWERS = 2
+# At a reused address, late responses to earlier requests may arrive first. This many are skipped;
+# more of them are a fault.
+MAX_STRAY_RESPONSES = 2
 LOGGER = logs.get_logger(__name__)
 
 
-class KeptConnection(msgspec.Struct):
+class IdleConnection(msgspec.Struct):
     """An idle connection. Times are seconds of ``clocks.boot_time``."""
 
     channel: http1.Channel
-    returned_at: float
+    idle_since: float
     expires_at: float
 
 
@@ -51,28 +54,28 @@
 
 
 class ReuseLimit(msgspec.Struct):
-    """How long connections of a service may have rested, after one was found dropped."""
+    """Longest reusable idle time of a service's connections, set when one was found dropped."""
 
     seconds: float
-    since: float
+    reduced_at: float
 
 
 class ConnectionPool:
-    """Idle connections by endpoint id."""
+    """The idle connections to all endpoints, by endpoint id."""
 
     def __init__(self, fleet: fleet_module.FleetState) -> None:
         self.fleet = fleet
-        self.idle: dict[str, list[KeptConnection]] = {}
+        self.idle: dict[str, list[IdleConnection]] = {}
         self.reuse_limits: dict[str, ReuseLimit] = {}
         self.opened = 0
 
-    def take(self, endpoint: gateway.Endpoint) -> Connection | None:
-        """Return the idle connection that was used last, None if none is safe to use."""
-        kept = self.idle.get(endpoint.id, [])
+    def acquire(self, endpoint: gateway.Endpoint) -> Connection | None:
+        """Return the most recently used idle connection, None if none is safe to reuse."""
+        idle = self.idle.get(endpoint.id, [])
         now = clocks.boot_time()
-        while kept:
-            connection = kept.pop()
-            idle_seconds = now - connection.returned_at
+        while idle:
+            connection = idle.pop()
+            idle_seconds = now - connection.idle_since
             if (
                 connection.channel.peer_gone
                 or connection.expires_at <= now
@@ -84,15 +87,15 @@
         return None
 
     def reuse_limit_seconds(self, service: str, now: float) -> float:
-        """Return how long a connection to an endpoint of a service may have rested."""
-        trust = self.reuse_limits.get(service)
-        if trust is None:
+        """Return how long a service's connections may have been idle and still be reused."""
+        reuse_limit = self.reuse_limits.get(service)
+        if reuse_limit is None:
             return MAX_IDLE_SECONDS
-        spans = (now - trust.since) // REUSE_LIMIT_DOUBLING_SECONDS
-        return trust.seconds * math.pow(2.0, min(spans, MAX_REUSE_LIMIT_DOUBLINGS))
+        doublings = (now - reuse_limit.reduced_at) // REUSE_LIMIT_DOUBLING_SECONDS
+        return reuse_limit.seconds * math.pow(2.0, min(doublings, MAX_REUSE_LIMIT_DOUBLINGS))
 
-    def note_dropped(self, endpoint: gateway.Endpoint, idle_seconds: float) -> None:
-        """Note that an endpoint had dropped a connection that rested for this long."""
+    def record_drop(self, endpoint: gateway.Endpoint, idle_seconds: float) -> None:
+        """Lower the service's reuse limit after an endpoint dropped an idle connection."""
         now = clocks.boot_time()
         seconds = min(
             self.reuse_limit_seconds(endpoint.service, now),
@@ -107,70 +110,73 @@
             trusted_seconds=round(seconds, 3),
         )
 
-    def give(
-        self, endpoint: gateway.Endpoint, channel: http1.Channel, keep_seconds: float | None
+    def release(
+        self, endpoint: gateway.Endpoint, channel: http1.Channel, keep_alive_seconds: float | None
     ) -> None:
-        """Keep a connection for the next request."""
+        """Keep a connection for reuse, or close it if the limits don't allow that.
+
+        ``keep_alive_seconds`` is the time-out that the endpoint announced, None without one.
+        """
         now = clocks.boot_time()
-        limit = DEFAULT_IDLE_SECONDS
-        if keep_seconds is not None:
-            limit = min(MAX_IDLE_SECONDS, keep_seconds - KEEP_ALIVE_MARGIN_SECONDS)
-        kept = self.idle.setdefault(endpoint.id, [])
-        if limit <= 0 or len(kept) >= self.idle_limit(endpoint.service):
+        max_idle_seconds = DEFAULT_IDLE_SECONDS
+        if keep_alive_seconds is not None:
+            max_idle_seconds = min(MAX_IDLE_SECONDS, keep_alive_seconds - KEEP_ALIVE_MARGIN_SECONDS)
+        idle = self.idle.setdefault(endpoint.id, [])
+        if max_idle_seconds <= 0 or len(idle) >= self.idle_limit(endpoint.service):
             channel.abort()
             return
-        kept.append(KeptConnection(channel, now, now + limit))
+        idle.append(IdleConnection(channel, now, now + max_idle_seconds))
 
     def idle_limit(self, service_name: str) -> int:
-        """Return how many idle connections to an endpoint this process may keep."""
+        """Return the largest number of idle connections to an endpoint of a service."""
         configuration = self.fleet.configuration
         service = configuration.services.get(service_name) if configuration else None
         if service is None:
             return 0
-        share = IDLE_CONNECTIONS_FRACTION * service.max_connections / len(self.fleet.live_gateways)
-        return min(MAX_IDLE_CONNECTIONS, max(1, int(share)))
+        limit = IDLE_CONNECTIONS_FRACTION * service.max_connections / len(self.fleet.live_gateways)
+        return min(MAX_IDLE_CONNECTIONS, max(1, int(limit)))
 
-    def expire(self, known: set[str]) -> None:
-        """Close idle connections that are too old or lead to endpoints that are gone."""
+    def expire(self, known_ids: set[str]) -> None:
+        """Close idle connections that have expired or whose endpoint is not in ``known_ids``."""
         now = clocks.boot_time()
         for endpoint_id in list(self.idle):
-            kept = self.idle[endpoint_id]
-            alive = []
-            for connection in kept:
+            idle = self.idle[endpoint_id]
+            open_connections = []
+            for connection in idle:
                 usable = connection.expires_at > now and not connection.channel.peer_gone
-                if usable and endpoint_id in known:
-                    alive.append(connection)
+                if usable and endpoint_id in known_ids:
+                    open_connections.append(connection)
                 else:
                     connection.channel.abort()
-            if alive:
-                self.idle[endpoint_id] = alive
+            if open_connections:
+                self.idle[endpoint_id] = open_connections
             else:
                 del self.idle[endpoint_id]
 
 
-class Call:
-    """One request that was sent to one endpoint, up to the head of its answer."""
+class EndpointCall:
+    """A request sent to an endpoint, with the head of its response received."""
 
-    __slots__ = ("answer", "endpoint", "exchange", "marks", "pool")
+    __slots__ = ("endpoint", "exchange", "marks", "pool", "response")
 
     def __init__(
         self,
         pool: ConnectionPool,
         endpoint: gateway.Endpoint,
         exchange: http1.Exchange,
-        answer: http1.Answer,
+        response: http1.Answer,
         marks: gateway.AnswerMarks,
     ) -> None:
         self.pool = pool
         self.endpoint = endpoint
         self.exchange = exchange
-        self.answer = answer
+        self.response = response
         self.marks = marks
 
     def finish(self) -> None:
-        """Keep the connection if its answer was read to the end, else reset it."""
+        """Release the connection if its response was read completely, otherwise reset it."""
         if self.exchange.reusable and not self.marks.closes:
-            self.pool.give(self.endpoint, self.exchange.channel, self.marks.keep_alive_seconds)
+            self.pool.release(self.endpoint, self.exchange.channel, self.marks.keep_alive_seconds)
         else:
             self.exchange.channel.abort()
 
@@ -184,20 +190,20 @@
         self.pool = ConnectionPool(fleet)
 
     async def connect(self, endpoint: gateway.Endpoint) -> Connection:
-        """Return a connection; raises EndpointNotStartedError."""
-        kept = self.pool.take(endpoint)
-        if kept is not None:
-            return kept
+        """Return an idle or a new connection; raises EndpointNotStartedError."""
+        idle = self.pool.acquire(endpoint)
+        if idle is not None:
+            return idle
         self.pool.opened += 1
         address = addresses.split(endpoint.address)
         try:
             return Connection(await http1.connect(address, CONNECT_TIMEOUT_SECONDS), None)
         except errors.EndpointNotStartedError:
-            pause = self.fleet.health.note_unreachable(endpoint.id, clocks.boot_time())
+            pause_seconds = self.fleet.health.note_unreachable(endpoint.id, clocks.boot_time())
             LOGGER.log(
                 events.Event.GATEWAY_ENDPOINT_UNREACHABLE,
                 endpoint=endpoint.id,
-                pause_seconds=pause,
+                pause_seconds=pause_seconds,
             )
             raise
 
@@ -210,11 +216,11 @@
         remaining_ms: int,
         last_event_id: str | None,
         connection: Connection,
-    ) -> Call:
-        """Send a request and read the head of its answer.
+    ) -> EndpointCall:
+        """Send a request and read the head of its response.
 
-        Raises EndpointNotStartedError if it surely did not run, EndpointBrokenError if it may
-        have run.
+        Raises EndpointNotStartedError if the request certainly did not run, EndpointBrokenError
+        if it may have run.
         """
         channel = connection.channel
         exchange = http1.Exchange(channel)
@@ -223,33 +229,38 @@
         )
         try:
             await exchange.send(terms.method, terms.target, headers, body)
-            answer, marks = await self.read_own_head(exchange, terms.request_id)
+            response, marks = await self.read_matching_head(exchange, terms.request_id)
             if marks.not_run:
                 await exchange.read_body()
         except (errors.EndpointError, asyncio.CancelledError) as error:
             channel.abort()
             unanswered = isinstance(error, errors.EndpointBrokenError) and not exchange.received
             if unanswered and connection.idle_seconds is not None:
-                self.pool.note_dropped(endpoint, connection.idle_seconds)
+                self.pool.record_drop(endpoint, connection.idle_seconds)
             raise
-        call = Call(self.pool, endpoint, exchange, answer, marks)
+        call = EndpointCall(self.pool, endpoint, exchange, response, marks)
         if marks.not_run:
             call.finish()
-            raise errors.EndpointNotStartedError(f"status {answer.status}", answer.status != 421)
+            raise errors.EndpointNotStartedError(
+                f"status {response.status}", response.status != 421
+            )
         return call
 
-    async def read_own_head(
+    async def read_matching_head(
         self, exchange: http1.Exchange, request_id: str
     ) -> tuple[http1.Answer, gateway.AnswerMarks]:
-        """Return the head of the answer to this request, dropping answers to others."""
-        for _ in range(STRAY_ANSWERS + 1):
-            answer = await exchange.read_head()
-            marks = self.codec.decode_response_head(answer.status, answer.headers)
+        """Return the head of the response to this request, skipping responses to others.
+
+        Raises EndpointBrokenError after ``MAX_STRAY_RESPONSES`` of those.
+        """
+        for _ in range(MAX_STRAY_RESPONSES + 1):
+            response = await exchange.read_head()
+            marks = self.codec.decode_response_head(response.status, response.headers)
             if marks.request_id in (None, request_id):
-                return answer, marks
+                return response, marks
             LOGGER.log(
                 events.Event.STRAY_ANSWER_DROPPED, request_id=request_id, other=marks.request_id
             )
             await exchange.read_body()
             exchange.expect_next_answer()
-        raise errors.EndpointBrokenError("answers to other requests only")
+        raise errors.EndpointBrokenError("received only responses to other requests")
--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -1,4 +1,4 @@
-"""What one gateway process believes: configuration, endpoints, loads and peers."""
+"""One gateway process's view of the fleet: configuration, endpoints, loads and peers."""
 
 from masticward import events, logs
 from masticward.models import gateway
@@ -14,41 +14,46 @@
 )
 from masticward.utils import clocks
 
-# Time between a check here and the run at an endpoint, and for timers that fire late.
+# Covers the time from a check here to the start at an endpoint, and timers that fire late.
 REVOKE_MARGIN_SECONDS = 0.5
 LOGGER = logs.get_logger(__name__)
 
 
 class FleetState:
-    """The beliefs of one process. Times are seconds of ``clocks.boot_time``."""
+    """The fleet as this process sees it. Times are seconds of ``clocks.boot_time``.
+
+    A proof is a read of the store which shows that the configuration in force is the newest one.
+    API keys are accepted only while the latest proof, a peer's or this process's own, is recent
+    enough.
+    """
 
     def __init__(self, settings: gateway.GatewaySettings) -> None:
         self.settings = settings
         self.started_at = clocks.boot_time()
         self.configuration: gateway.FleetConfiguration | None = None
-        # The configuration in force was the newest at this moment, as the store said.
+        # The latest time for which a proof shows that the configuration in force was the newest.
         self.configuration_proven_at = 0.0
-        # The newest version that a peer has; its content comes from the store.
+        # Newest version that a peer reported; its content is read from the store.
         self.newest_peer_version = 0
         self.endpoints_known = False
         self.table = endpoint_table.EndpointTable()
         self.loads = load_board.LoadBoard()
         self.caches = prompt_cache.CacheMap()
         self.health = endpoint_health.HealthBook()
-        # Tokens of the requests that began, and of all that arrived.
+        # Tokens of requests that were placed (usage) and of all that arrived (demand).
         self.usage = team_usage.TeamUsage()
         self.demand = team_usage.TeamUsage()
         self.pace = cold_pace.ColdPace()
         self.budgets: dict[str, repeats.RepeatBudget] = {}
         self.view = placement.PlacementView(self.loads, self.caches, self.health)
-        # Gateways that were heard lately, this one included.
+        # Ids of gateways with a recent datagram that are not stopping, and of this one.
         self.live_gateways: list[str] = [settings.instance_id]
-        # Gateways known at all; fleet-wide budgets are divided among them.
-        self.known_gateways = 1
+        # All gateways ever seen, live or not; fleet-wide budgets are divided among them.
+        self.known_gateway_count = 1
         self.routes_by_host: dict[str, list[gateway.Route]] = {}
 
     def apply_settings(self, settings: gateway.GatewaySettings) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.settings = settings
         for budget in self.budgets.values():
             budget.ratio = settings.bounds.repeat_ratio
@@ -58,7 +63,7 @@
     def apply_configuration(
         self, configuration: gateway.FleetConfiguration, proven_at: float, source: str
     ) -> bool:
-        """Put a configuration in force unless it is older; returns whether it changed."""
+        """Put a configuration in force unless it is older; return whether it changed."""
         current = self.configuration
         if current is not None and configuration.version < current.version:
             LOGGER.log(
@@ -86,51 +91,51 @@
         return True
 
     def find_route(self, host: str, path: str) -> gateway.Route | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the host's route with the longest prefix of a path, None without one."""
         routes = self.routes_by_host.get(host)
         if routes is None:
             routes = self.routes_by_host.get(host.partition(":")[0], [])
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
     def proof_is_fresh(self, now: float) -> bool:
-        """Whether the known keys were valid recently enough to let a request run."""
+        """Return whether the configuration was proven recently enough to accept its keys."""
         allowed_age = self.settings.bounds.revoke_seconds - REVOKE_MARGIN_SECONDS
         return now - self.configuration_proven_at < allowed_age
 
     def team_of(self, api_key: str | None) -> str | None:
-        """Return the team that holds a key."""
+        """Return the team that owns an API key, None if there is none."""
         configuration = self.configuration
         if configuration is None or configuration.team_of_key is None or api_key is None:
             return None
         return configuration.team_of_key.get(api_key)
 
     def budget(self, service: str) -> repeats.RepeatBudget:
-        """Return the budget for repeated sends to a service."""
-        found = self.budgets.get(service)
-        if found is None:
+        """Return the retry budget of a service."""
+        budget = self.budgets.get(service)
+        if budget is None:
             bounds = self.settings.bounds
-            found = self.budgets[service] = repeats.RepeatBudget(
+            budget = self.budgets[service] = repeats.RepeatBudget(
                 bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_seconds
             )
-        return found
+        return budget
 
     def apply_endpoints(
         self, found: list[tuple[str, gateway.Endpoint | None]], complete: bool
     ) -> None:
-        """Take over a listing or changes of the endpoints."""
+        """Apply a listing (``complete``) or changes of the endpoints; None stands for a removal."""
         self.endpoints_known = True
         for change in self.table.apply(found, complete, clocks.boot_time()):
-            self.note_change(change)
+            self.record_change(change)
 
     def drop_expired_endpoints(self) -> None:
-        """Drop endpoints whose grace after an outage is over."""
+        """Drop endpoints whose grace period after a store outage has ended."""
         changes: list[endpoint_table.Change] = []
         self.table.drop_missing(clocks.boot_time(), changes)
         for change in changes:
-            self.note_change(change)
+            self.record_change(change)
 
-    def note_change(self, change: endpoint_table.Change) -> None:
-        """Log a change of an endpoint and drop what was known of the one before."""
+    def record_change(self, change: endpoint_table.Change) -> None:
+        """Log a change of an endpoint and drop the state of its earlier incarnation."""
         LOGGER.log(
             events.Event.GATEWAY_ENDPOINT_CHANGED,
             endpoint=change.endpoint_id,
@@ -143,7 +148,7 @@
             self.pace.forget(change.endpoint_id)
 
     def apply_evacuations(self, found: list[tuple[str, bool]], complete: bool) -> None:
-        """Take over the zones that operators have taken out."""
+        """Apply a listing (``complete``) or changes of the zones that operators evacuated."""
         zones = set() if complete else set(self.table.out_zones)
         for zone, out in found:
             if out:
--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -1,4 +1,4 @@
-"""Takes clients' requests: checks, route and team, and the answers of the gateway's own."""
+"""Accepts clients' requests: checks them, finds route and team, and answers refusals."""
 
 import asyncio
 
@@ -8,38 +8,38 @@
 from masticward.transport import http1_server
 from masticward.utils import clocks
 
-NO_CONFIGURATION_RETURN_SECONDS = 0.5
+NO_CONFIGURATION_RETRY_AFTER_SECONDS = 0.5
 LOGGER = logs.get_logger(__name__)
 
 
 class ClientRequestHandler(http1_server.RequestHandler):
-    """Answers clients' requests."""
+    """Handles the requests of clients."""
 
     def __init__(self, dependencies: request_path.RequestDependencies) -> None:
         self.dependencies = dependencies
         self.fleet = dependencies.fleet
 
     def limits(self) -> gateway.ClientLimits:
-        """Return what clients may send now."""
+        """Return the limits on requests in the configuration in force."""
         configuration = self.fleet.configuration
         return configuration.limits if configuration else gateway.ClientLimits()
 
     def note_protocol_error(self, status: int, detail: str) -> None:
-        """Count and log a request that could not be read."""
-        self.dependencies.meters.note_outcome("unreadable", status)
+        """Count and log a request that could not be parsed."""
+        self.dependencies.meters.count_outcome("unreadable", status)
         LOGGER.log(events.Event.REQUEST_UNREADABLE, status=status, detail=detail)
 
     async def handle(
         self, request: http1_server.Request, responder: http1_server.Responder
     ) -> None:
-        """Answer one request."""
+        """Handle one request."""
         request_id = None
         try:
             terms = self.dependencies.codec.decode_request(
                 request.method, request.target, request.headers, request.arrived_at
             )
             request_id = terms.request_id
-            route, team = self.check(terms)
+            route, team = self.authorize(terms)
             await request_path.ProxiedRequest(
                 self.dependencies, terms, route, team, request.body, responder
             ).run()
@@ -48,7 +48,7 @@
         except request_path.RefusalError as refusal:
             await self.refuse(responder, request_id, refusal)
         except asyncio.CancelledError:
-            self.dependencies.meters.note_outcome("client left", 0)
+            self.dependencies.meters.count_outcome("client left", 0)
             LOGGER.log(events.Event.CLIENT_LEFT, request_id=request_id)
             raise
 
@@ -58,8 +58,8 @@
         request_id: str | None,
         refusal: request_path.RefusalError,
     ) -> None:
-        """Write an answer of the gateway's own."""
-        self.dependencies.meters.note_outcome("refused", refusal.status)
+        """Answer a request with a refusal by the gateway itself."""
+        self.dependencies.meters.count_outcome("refused", refusal.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_REFUSED,
             request_id=request_id,
@@ -70,25 +70,25 @@
         headers = self.dependencies.codec.refusal_headers(request_id, refusal.retry_after_seconds)
         await responder.send(refusal.status, headers, b"")
 
-    def check(self, terms: gateway.RequestTerms) -> tuple[gateway.Route, str | None]:
-        """Return route and team of a request; raises RefusalError."""
+    def authorize(self, terms: gateway.RequestTerms) -> tuple[gateway.Route, str | None]:
+        """Return the route and the team of a request; raises RefusalError."""
         fleet = self.fleet
         configuration = fleet.configuration
         if configuration is None or not fleet.endpoints_known:
             raise request_path.RefusalError(
-                503, "no configuration yet", NO_CONFIGURATION_RETURN_SECONDS
+                503, "no configuration yet", NO_CONFIGURATION_RETRY_AFTER_SECONDS
             )
         route = fleet.find_route(terms.host, terms.path)
-        provable = fleet.proof_is_fresh(clocks.boot_time())
+        proof_is_fresh = fleet.proof_is_fresh(clocks.boot_time())
         if route is None:
-            if not provable:
+            if not proof_is_fresh:
                 raise request_path.RefusalError(
-                    503, "configuration too old", request_path.STALE_KEYS_RETURN_SECONDS
+                    503, "configuration too old", request_path.STALE_PROOF_RETRY_AFTER_SECONDS
                 )
             raise request_path.RefusalError(404, "no route")
         team = fleet.team_of(terms.api_key)
         if configuration.team_of_key is not None and not route.public:
-            request_path.check_keys_provable(fleet)
+            request_path.require_fresh_proof(fleet)
             if team is None:
                 raise request_path.RefusalError(401, "unknown key")
         return route, team
--- a/src/masticward/gateway/gateway_metrics.py
+++ b/src/masticward/gateway/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the gateway."""
+"""Prometheus metrics of the gateway."""
 
 import collections.abc
 
@@ -10,29 +10,29 @@
 
 
 class GatewayMeters:
-    """Counters and histograms of one gateway process."""
+    """Counters, histograms and gauges of one gateway process."""
 
-    __slots__ = ("attempts", "first_event", "process", "requests")
+    __slots__ = ("failed_attempts", "first_event", "process_metrics", "requests")
 
-    def __init__(self, process: metrics.ProcessMetrics) -> None:
-        self.process = process
+    def __init__(self, process_metrics: metrics.ProcessMetrics) -> None:
+        self.process_metrics = process_metrics
         self.requests = prometheus_client.Counter(
             "masticward_gateway_requests",
             "finished requests",
             ["outcome", "status"],
-            registry=process.registry,
+            registry=process_metrics.registry,
         )
-        self.attempts = prometheus_client.Counter(
+        self.failed_attempts = prometheus_client.Counter(
             "masticward_gateway_failed_attempts",
             "sends to endpoints without a whole answer",
             ["outcome"],
-            registry=process.registry,
+            registry=process_metrics.registry,
         )
         self.first_event = prometheus_client.Histogram(
             "masticward_gateway_first_event_seconds",
             "time from arrival to the first event of a stream, in seconds",
             buckets=FIRST_EVENT_BUCKETS,
-            registry=process.registry,
+            registry=process_metrics.registry,
         )
 
     def add_gauge(
@@ -41,8 +41,8 @@
         description: str,
         read: collections.abc.Callable[[], float],
     ) -> None:
-        """Add a figure that is read when the metrics are collected."""
-        gauge = prometheus_client.Gauge(name, description, registry=self.process.registry)
+        """Add a gauge whose value is read at each scrape."""
+        gauge = prometheus_client.Gauge(name, description, registry=self.process_metrics.registry)
         gauge.set_function(read)
 
     def add_labelled_gauge(
@@ -52,11 +52,13 @@
         label: str,
         read: collections.abc.Mapping[str, collections.abc.Callable[[], float]],
     ) -> None:
-        """Add one figure for each value of a label."""
-        gauge = prometheus_client.Gauge(name, description, [label], registry=self.process.registry)
+        """Add a gauge with one label whose values are read at each scrape."""
+        gauge = prometheus_client.Gauge(
+            name, description, [label], registry=self.process_metrics.registry
+        )
         for value, function in read.items():
             gauge.labels(value).set_function(function)
 
-    def note_outcome(self, outcome: str, status: int) -> None:
-        """Count a finished request."""
+    def count_outcome(self, outcome: str, status: int) -> None:
+        """Count a finished request by outcome and HTTP status; status 0 if none was sent."""
         self.requests.labels(outcome, str(status)).inc()
--- a/src/masticward/gateway/peering.py
+++ b/src/masticward/gateway/peering.py
@@ -1,4 +1,4 @@
-"""Exchanges figures with the other gateways."""
+"""Exchanges status reports with the other gateways."""
 
 import asyncio
 import collections.abc
@@ -14,39 +14,42 @@
 from masticward.state import load_board
 from masticward.utils import clocks, identifiers
 
-# Figures are this old at most with few gateways; with more, a process sends as many datagrams.
-SHORTEST_INTERVAL_SECONDS = 0.1
-DATAGRAMS_PER_SECOND = 60.0
-# A gateway is live if it was heard within this time; links may lose single datagrams.
-LIVE_SECONDS = 1.2
-# Silent gateways are still sent to now and then, so that a healed partition is noticed.
-SILENT_EVERY = 10
-MEMBERS_EVERY = 5
-# Watches bring changes to all gateways within this time, unless one of them hangs. What a listing
-# then brings is in force within the bounds on draining and evacuation.
-DIFFERENCE_SECONDS = 0.8
-# Least time between two listings because of differences.
-LISTING_SECONDS = 2.0
-REGISTER_RETRY_SECONDS = 1.0
-MEMBERS_LIST_SECONDS = 15.0
-# Changes of loads are told this soon, so that gateways which choose at the same time do not all
-# take the same engine; with many gateways, a process sends at most as many datagrams.
-CHANGES_SECONDS = 0.02
+# Reports are sent at this interval while there are few gateways. With more of them, the interval
+# grows so that a process stays within its rate of datagrams.
+MIN_REPORT_INTERVAL_SECONDS = 0.1
+REPORT_DATAGRAMS_PER_SECOND = 60.0
+# A gateway counts as live for this long after its last datagram, as links lose single datagrams.
+LIVENESS_TIMEOUT_SECONDS = 1.2
+# Gateways that are not live, and the seed addresses, are sent every n-th report, so that the end of
+# a partition is detected.
+ROUNDS_PER_REPORT_TO_SILENT_PEERS = 10
+ROUNDS_PER_MEMBER_LIST = 5
+# Watches deliver changes to all gateways within this time unless a watch hangs. A listing requested
+# after it still applies changes within the bounds on draining and evacuation.
+LISTING_MISMATCH_SECONDS = 0.8
+# Shortest time between two listings that are requested because of a mismatch.
+MIN_RELIST_INTERVAL_SECONDS = 2.0
+REGISTRATION_RETRY_SECONDS = 1.0
+MEMBER_LIST_POLL_SECONDS = 15.0
+# Load changes are sent at this short interval so that gateways which place requests at the same
+# time do not all choose the same engine. With many gateways, the interval grows so that a process
+# stays within the rate of datagrams.
+MIN_CHANGES_INTERVAL_SECONDS = 0.02
 CHANGES_DATAGRAMS_PER_SECOND = 600.0
 LOGGER = logs.get_logger(__name__)
 
 
 class Peer:
-    """Another gateway. Times are seconds of ``clocks.boot_time`` of this process."""
+    """Another gateway. Times are seconds of this process's ``clocks.boot_time``."""
 
     __slots__ = (
-        "echo",
         "incarnation",
         "instance_id",
         "ip",
         "last_report",
-        "listing_since",
+        "listing_digest_since",
         "live",
+        "newest_sent_at",
         "received_at",
     )
 
@@ -55,85 +58,96 @@
         self.ip = ip
         self.incarnation = 0
         self.received_at = -1e9
-        # The newest send time that the peer told, on the peer's clock.
-        self.echo = 0.0
+        # Newest send time received from the peer, on the peer's clock.
+        self.newest_sent_at = 0.0
         self.live = False
-        # Since when the peer has told the same digest of its listing.
-        self.listing_since = 0.0
+        # When the peer's current listing digest was first received.
+        self.listing_digest_since = 0.0
         self.last_report: gateway_peers.PeerFigures | None = None
 
 
 class Peering(asyncio.DatagramProtocol):
-    """Sends this process's figures to all gateways and takes over theirs."""
+    """Sends this process's status to all gateways and applies theirs.
+
+    Complete reports are sent periodically; changes of the load are sent in between.
+    """
 
     def __init__(
         self,
         fleet: fleet_module.FleetState,
         source: sources.FleetSource,
-        on_difference: collections.abc.Callable[[], None] = lambda: None,
+        on_listing_mismatch: collections.abc.Callable[[], None] = lambda: None,
     ) -> None:
         self.fleet = fleet
         self.source = source
-        # Called when most gateways list other endpoints or zones than this one.
-        self.on_difference = on_difference
-        self.compared_at = 0.0
+        # Called when at least half of the live gateways list other endpoints or zones.
+        self.on_listing_mismatch = on_listing_mismatch
+        self.relist_requested_at = 0.0
         self.incarnation = identifiers.new_incarnation()
         self.peers: dict[str, Peer] = {}
-        self.seeds: list[str] = []
+        self.seed_ips: list[str] = []
         self.apply_settings(fleet.settings)
         self.transport: asyncio.DatagramTransport | None = None
-        self.rounds = 0
+        self.report_rounds = 0
         self.stopping = False
-        self.new_prompts: list[tuple[str, list[tuple[int, int]]]] = []
-        # A request was sent since the last message.
-        self.new_work = False
-        # Told in changes; told once more with the next figures, because datagrams get lost.
-        self.told_prompts: list[tuple[str, list[tuple[int, int]]]] = []
+        self.unsent_prompts: list[tuple[str, list[tuple[int, int]]]] = []
+        # Whether a request was placed since the last message.
+        self.has_unsent_request = False
+        # Prompts already sent once, repeated in the next report because datagrams may be lost.
+        self.prompts_to_repeat: list[tuple[str, list[tuple[int, int]]]] = []
 
     def apply_settings(self, settings: gateway.GatewaySettings) -> None:
-        """Take over the addresses at which other gateways may be found."""
-        self.seeds = [ip for ip in settings.seed_ips if ip != settings.ip]
+        """Apply changed seed addresses of other gateways."""
+        self.seed_ips = [ip for ip in settings.seed_ips if ip != settings.ip]
 
     async def start(self) -> None:
-        """Open the port."""
+        """Open the UDP port."""
         loop = asyncio.get_running_loop()
         address = (self.fleet.settings.ip, self.fleet.settings.peer_port)
         await loop.create_datagram_endpoint(lambda: self, local_addr=address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore what the network says of single datagrams; silence shows a lost peer."""
+        """Ignore errors of single datagrams; an unreachable peer is detected by its silence."""
 
     def announce_prompt(self, endpoint_id: str, keys: list[tuple[int, int]]) -> None:
-        """Tell the peers of a prompt that was sent to an engine; its last part is not shared."""
-        self.new_work = True
+        """Queue a placed prompt for the peers.
+
+        ``keys`` holds key and tokens of each prefix; the last one covers the request's own part,
+        which no other request shares, and is left out.
+        """
+        self.has_unsent_request = True
         if len(keys) > 1:
-            self.new_prompts.append((endpoint_id, keys[:-1]))
+            self.unsent_prompts.append((endpoint_id, keys[:-1]))
 
     async def run(self) -> None:
-        """Send figures until cancelled."""
+        """Send reports until cancelled."""
         while True:
             self.update_liveness()
             self.compare_listings()
             self.send_reports()
-            live = max(1, len(self.fleet.live_gateways) - 1)
-            await asyncio.sleep(max(SHORTEST_INTERVAL_SECONDS, live / DATAGRAMS_PER_SECOND))
+            live_peers = max(1, len(self.fleet.live_gateways) - 1)
+            await asyncio.sleep(
+                max(MIN_REPORT_INTERVAL_SECONDS, live_peers / REPORT_DATAGRAMS_PER_SECOND)
+            )
 
     async def run_changes(self) -> None:
-        """Send changes of the own loads soon after they happen, until cancelled."""
+        """Send changes of this process's load shortly after they happen, until cancelled."""
         while True:
-            live = max(1, len(self.fleet.live_gateways) - 1)
-            await asyncio.sleep(max(CHANGES_SECONDS, live / CHANGES_DATAGRAMS_PER_SECOND))
-            # Ends of requests alone wait for the next figures or the next new request.
-            if self.new_prompts or self.new_work:
+            live_peers = max(1, len(self.fleet.live_gateways) - 1)
+            await asyncio.sleep(
+                max(MIN_CHANGES_INTERVAL_SECONDS, live_peers / CHANGES_DATAGRAMS_PER_SECOND)
+            )
+            # Finished requests alone wait for the next report or the next placed request.
+            if self.unsent_prompts or self.has_unsent_request:
                 self.send_changes()
 
     def send_changes(self) -> None:
         """Send the changes since the last message to each live gateway."""
-        self.new_work = False
+        self.has_unsent_request = False
         loads = self.fleet.loads.take_changed()
         changes = gateway_peers.PeerChanges(
             instance_id=self.fleet.settings.instance_id,
@@ -142,21 +156,21 @@
                 endpoint_id: (load.unread_tokens, load.requests, load.memory_tokens)
                 for endpoint_id, load in loads.items()
             },
-            prompts=self.new_prompts,
+            prompts=self.unsent_prompts,
         )
-        self.told_prompts += self.new_prompts
-        self.new_prompts = []
-        raw = gateway_peers.encode_content(changes)
+        self.prompts_to_repeat += self.unsent_prompts
+        self.unsent_prompts = []
+        content = gateway_peers.encode_content(changes)
         for peer in self.peers.values():
             if peer.live:
-                self.send_message(peer, raw)
+                self.send_message(peer, content)
 
     async def run_registration(self) -> None:
-        """Register this process once and read the list of the others now and then."""
+        """Register this process once and read the member list periodically, until cancelled."""
         settings = self.fleet.settings
         registered = False
         while True:
-            wait = MEMBERS_LIST_SECONDS if registered else REGISTER_RETRY_SECONDS
+            wait_seconds = MEMBER_LIST_POLL_SECONDS if registered else REGISTRATION_RETRY_SECONDS
             try:
                 if not registered:
                     await self.source.register(sources.Member(settings.instance_id, settings.ip))
@@ -164,101 +178,108 @@
                 listing = await self.source.list_objects(sources.ObjectKind.MEMBERS)
                 for item in listing.items:
                     if isinstance(item.value, sources.Member):
-                        self.add(item.value.instance_id, item.value.ip)
+                        self.add_peer(item.value.instance_id, item.value.ip)
             except errors.StoreError as error:
                 LOGGER.log(
                     events.Event.MEMBER_LIST_UNAVAILABLE, registered=registered, error=str(error)
                 )
-            await asyncio.sleep(wait)
+            await asyncio.sleep(wait_seconds)
 
-    def add(self, instance_id: str, ip: str) -> Peer | None:
-        """Return the peer of that name, new if it was not known; None for this process."""
+    def add_peer(self, instance_id: str, ip: str) -> Peer | None:
+        """Return the peer with this id, creating it if needed; None for this process."""
         if instance_id == self.fleet.settings.instance_id:
             return None
         peer = self.peers.get(instance_id)
         if peer is None or peer.ip != ip:
             peer = self.peers[instance_id] = Peer(instance_id, ip)
-            self.fleet.known_gateways = len(self.peers) + 1
+            self.fleet.known_gateway_count = len(self.peers) + 1
         return peer
 
     def update_liveness(self) -> None:
-        """Bring the list of live gateways up to date."""
+        """Update the list of live gateways and drop the loads of silent ones."""
         now = clocks.boot_time()
         self.fleet.loads.drop_silent(now)
-        live = [self.fleet.settings.instance_id]
+        live_ids = [self.fleet.settings.instance_id]
         for peer in self.peers.values():
-            heard = now - peer.received_at <= LIVE_SECONDS
-            if heard != peer.live:
-                peer.live = heard
-                event = events.Event.PEER_HEARD if heard else events.Event.PEER_LOST
+            recently_seen = now - peer.received_at <= LIVENESS_TIMEOUT_SECONDS
+            if recently_seen != peer.live:
+                peer.live = recently_seen
+                event = events.Event.PEER_HEARD if recently_seen else events.Event.PEER_LOST
                 LOGGER.log(
                     event, peer=peer.instance_id, silent_seconds=round(now - peer.received_at, 2)
                 )
             stopping = peer.last_report is not None and peer.last_report.stopping
-            if heard and not stopping:
-                live.append(peer.instance_id)
-        self.fleet.live_gateways = live
+            if recently_seen and not stopping:
+                live_ids.append(peer.instance_id)
+        self.fleet.live_gateways = live_ids
 
     def compare_listings(self) -> None:
-        """Have everything listed again if most peers have known another listing for a while."""
+        """Request a new listing if this process's watch seems to hang.
+
+        That is when the listings of at least half of the live peers have differed from this
+        process's for ``LISTING_MISMATCH_SECONDS``. Fewer peers may themselves be behind.
+        """
         now = clocks.boot_time()
-        if not self.fleet.endpoints_known or now - self.compared_at < LISTING_SECONDS:
+        if (
+            not self.fleet.endpoints_known
+            or now - self.relist_requested_at < MIN_RELIST_INTERVAL_SECONDS
+        ):
             return
-        own = self.fleet.table.digest()
+        own_digest = self.fleet.table.digest()
         live = [peer for peer in self.peers.values() if peer.live and peer.last_report is not None]
-        others = [
+        differing = [
             peer
             for peer in live
             if peer.last_report is not None
-            and peer.last_report.listing_digest not in (0, own)
-            and now - peer.listing_since > DIFFERENCE_SECONDS
+            and peer.last_report.listing_digest not in (0, own_digest)
+            and now - peer.listing_digest_since > LISTING_MISMATCH_SECONDS
         ]
-        if others and 2 * len(others) >= len(live):
-            self.compared_at = now
-            self.on_difference()
+        if differing and 2 * len(differing) >= len(live):
+            self.relist_requested_at = now
+            self.on_listing_mismatch()
 
     def send_reports(self) -> None:
-        """Send one datagram to each live gateway, now and then also to the others."""
+        """Send a report to each live gateway, and periodically to the others and the seeds."""
         transport = self.transport
         if transport is None:
             return
-        self.rounds += 1
-        raw = gateway_peers.encode_content(self.build_report())
-        every = self.rounds % SILENT_EVERY == 1
+        self.report_rounds += 1
+        content = gateway_peers.encode_content(self.build_report())
+        include_silent = self.report_rounds % ROUNDS_PER_REPORT_TO_SILENT_PEERS == 1
         for peer in self.peers.values():
-            if peer.live or every:
-                self.send_message(peer, raw)
-        if every:
-            known = {peer.ip for peer in self.peers.values()}
-            message = gateway_peers.PeerMessage(clocks.boot_time(), 0.0, 0, raw)
-            for ip in self.seeds:
-                if ip not in known:
+            if peer.live or include_silent:
+                self.send_message(peer, content)
+        if include_silent:
+            known_ips = {peer.ip for peer in self.peers.values()}
+            message = gateway_peers.PeerMessage(clocks.boot_time(), 0.0, 0, content)
+            for ip in self.seed_ips:
+                if ip not in known_ips:
                     self.send_to(ip, gateway_peers.encode(message))
 
     def send_message(self, peer: Peer, content: msgspec.Raw) -> None:
-        """Send one datagram that echoes the peer's newest send time."""
+        """Send one datagram that returns the peer's newest send time."""
         message = gateway_peers.PeerMessage(
-            clocks.boot_time(), peer.echo, peer.incarnation, content
+            clocks.boot_time(), peer.newest_sent_at, peer.incarnation, content
         )
         self.send_to(peer.ip, gateway_peers.encode(message))
 
     def send_to(self, ip: str, data: bytes) -> None:
-        """Send one datagram."""
+        """Send one datagram unless it exceeds the size limit."""
         if self.transport is not None and len(data) <= gateway_peers.MAXIMUM_DATAGRAM_BYTES:
             self.transport.sendto(data, (ip, self.fleet.settings.peer_port))
 
     def build_report(self) -> gateway_peers.PeerFigures:
-        """Return what this process tells."""
+        """Return the current status report and reset what it covers."""
         fleet = self.fleet
         now = clocks.boot_time()
         fleet.usage.decay(now)
         fleet.demand.decay(now)
-        prompts = self.told_prompts + self.new_prompts
-        # What no change has told yet is told twice, too.
-        self.told_prompts, self.new_prompts = self.new_prompts, []
+        prompts = self.prompts_to_repeat + self.unsent_prompts
+        # Prompts that no change message carried are repeated in the next report, too.
+        self.prompts_to_repeat, self.unsent_prompts = self.unsent_prompts, []
         fleet.loads.changed.clear()
         members: list[tuple[str, str]] = []
-        if self.rounds % MEMBERS_EVERY == 0:
+        if self.report_rounds % ROUNDS_PER_MEMBER_LIST == 0:
             members = [(peer.instance_id, peer.ip) for peer in self.peers.values()]
         configuration = fleet.configuration
         return gateway_peers.PeerFigures(
@@ -280,7 +301,7 @@
         )
 
     def datagram_received(self, data: bytes, addr: tuple[str | typing.Any, int]) -> None:
-        """Take over a peer's figures."""
+        """Apply a peer's report or changes."""
         try:
             message, content = gateway_peers.decode(data)
         except msgspec.DecodeError as error:
@@ -295,54 +316,55 @@
     def apply_changes(
         self, message: gateway_peers.PeerMessage, changes: gateway_peers.PeerChanges, now: float
     ) -> None:
-        """Take over changes of a peer whose figures are known."""
+        """Apply load changes of a peer that has sent a report."""
         peer = self.peers.get(changes.instance_id)
         if peer is None or changes.incarnation != peer.incarnation:
             return
-        if message.sent_at <= peer.echo:
+        if message.sent_at <= peer.newest_sent_at:
             return  # overtaken by a newer datagram
-        peer.echo = message.sent_at
+        peer.newest_sent_at = message.sent_at
         peer.received_at = now
         loads = {key: load_board.EndpointLoad(*value) for key, value in changes.loads.items()}
         self.fleet.loads.note_peer_changes(peer.instance_id, loads, now)
         self.apply_prompts(changes.prompts)
 
     def apply_report(
-        self, message: gateway_peers.PeerMessage, figures: gateway_peers.PeerFigures, now: float
+        self, message: gateway_peers.PeerMessage, report: gateway_peers.PeerFigures, now: float
     ) -> None:
-        """Take over all figures of a peer."""
-        peer = self.add(figures.instance_id, figures.ip)
+        """Apply a peer's complete report."""
+        peer = self.add_peer(report.instance_id, report.ip)
         if peer is None:
             return
-        # A start after the time of day was set back has a lower number than the one before it.
-        heard_lately = now - peer.received_at <= LIVE_SECONDS
-        if figures.incarnation < peer.incarnation and heard_lately:
+        # A peer that restarts after its wall clock was set back has a lower incarnation; it is
+        # accepted once the earlier one has been silent for the liveness timeout.
+        recently_seen = now - peer.received_at <= LIVENESS_TIMEOUT_SECONDS
+        if report.incarnation < peer.incarnation and recently_seen:
             return
-        if figures.incarnation == peer.incarnation and message.sent_at <= peer.echo:
+        if report.incarnation == peer.incarnation and message.sent_at <= peer.newest_sent_at:
             return  # overtaken by a newer datagram
-        peer.incarnation = figures.incarnation
-        peer.echo = message.sent_at
+        peer.incarnation = report.incarnation
+        peer.newest_sent_at = message.sent_at
         peer.received_at = now
-        before = peer.last_report
-        if before is None or before.listing_digest != figures.listing_digest:
-            peer.listing_since = now
-        peer.last_report = figures
+        previous = peer.last_report
+        if previous is None or previous.listing_digest != report.listing_digest:
+            peer.listing_digest_since = now
+        peer.last_report = report
         fleet = self.fleet
-        fleet.newest_peer_version = max(fleet.newest_peer_version, figures.configuration_version)
+        fleet.newest_peer_version = max(fleet.newest_peer_version, report.configuration_version)
         fleet.loads.note_peer(
             peer.instance_id,
-            {key: load_board.EndpointLoad(*value) for key, value in figures.loads.items()},
+            {key: load_board.EndpointLoad(*value) for key, value in report.loads.items()},
             now,
         )
-        fleet.usage.note_peer(peer.instance_id, figures.usage, now)
-        fleet.demand.note_peer(peer.instance_id, figures.asked, now)
-        self.apply_prompts(figures.prompts)
-        self.note_proof(message, figures, now)
-        for instance_id, ip in figures.members:
-            self.add(instance_id, ip)
+        fleet.usage.note_peer(peer.instance_id, report.usage, now)
+        fleet.demand.note_peer(peer.instance_id, report.asked, now)
+        self.apply_prompts(report.prompts)
+        self.apply_proof(message, report, now)
+        for instance_id, ip in report.members:
+            self.add_peer(instance_id, ip)
 
     def apply_prompts(self, prompts: list[tuple[str, list[tuple[int, int]]]]) -> None:
-        """Remember which engines have read a peer's prompts."""
+        """Add the prompts that a peer placed to the engines' cache models."""
         fleet = self.fleet
         for endpoint_id, keys in prompts:
             endpoint = fleet.table.endpoints.get(endpoint_id)
@@ -355,23 +377,23 @@
                     [(key, tokens) for key, tokens in keys]
                 )
 
-    def note_proof(
-        self, message: gateway_peers.PeerMessage, figures: gateway_peers.PeerFigures, now: float
+    def apply_proof(
+        self, message: gateway_peers.PeerMessage, report: gateway_peers.PeerFigures, now: float
     ) -> None:
-        """Take over a peer's proof that the configuration in force is the newest one.
+        """Apply a peer's proof that the configuration in force is the newest one.
 
-        The peer wrote its message after it had received the one that it echoes, so that the proof
-        is not older than the echoed send time less the age that the peer states. The time of
-        receipt shows nothing: a datagram may have waited while this process was frozen.
+        The peer built its message after it had received the one that it echoes, so the proof is
+        not older than the echoed send time minus the stated age. The time of receipt is no such
+        bound: a datagram may have been queued while this process was suspended.
         """
         configuration = self.fleet.configuration
         if (
             configuration is None
             or message.echo_incarnation != self.incarnation
-            or figures.configuration_proof_age < 0
-            or figures.configuration_version != configuration.version
+            or report.configuration_proof_age < 0
+            or report.configuration_version != configuration.version
             or not 0 < message.echo <= now
         ):
             return
-        proven_at = message.echo - figures.configuration_proof_age
+        proven_at = message.echo - report.configuration_proof_age
         self.fleet.configuration_proven_at = max(self.fleet.configuration_proven_at, proven_at)
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an endpoint, and the order in which they get one."""
+"""The queues of requests that wait for an endpoint, and the order in which they are placed."""
 
 import asyncio
 import collections.abc
@@ -11,47 +11,50 @@
 from masticward.state import cold_pace, placement, prompt_cache, team_usage
 from masticward.utils import clocks
 
-# Waiting requests are looked at this often, because peers' loads change without an event here.
-PUMP_SECONDS = 0.02
-# Choices that fail before the rest of the queue is only checked for refusal. Small requests must
-# still be tried behind large ones that wait for the engines of their shared parts.
-MOST_BLOCKED = 60
-# The looks at a long queue take at most this part of the processor.
-LOOKING_SHARE = 0.2
-# A request is refused when it has waited for this part of its objective: what is left is needed
-# to read its prompt, and a later answer is worth little to the caller.
-WAIT_SHARE = 0.8
-# Sent later than this part of its objective, a request is late: the rest passes in the engine's
-# window and while its own prompt is read. It goes behind those that can still be in time.
-IN_TIME_SHARE = 0.5
-# Callers come back at different times, so that they do not meet again.
-RETURN_SPREAD = 0.5
-SHORTEST_RETURN_SECONDS = 0.2
-LONGEST_RETURN_SECONDS = 1.5
+# The queues are scanned periodically because changes of the peers' loads trigger no event here.
+QUEUE_SCAN_SECONDS = 0.02
+# Once this many requests of a scan found no endpoint, the rest are only checked for refusal. The
+# limit is not lower so that small requests are still tried behind large ones that wait for the
+# engines which cache their shared prefixes.
+MAX_FAILED_CHOICES = 60
+# Largest fraction of processor time spent on scanning long queues.
+SCAN_CPU_FRACTION = 0.2
+# A request that has waited for this fraction of its latency target is refused: the rest is needed
+# to read its prompt, and a later response is of little use to the client.
+MAX_WAIT_FRACTION = 0.8
+# A request that has not been sent after this fraction of its latency target counts as late, because
+# the rest passes in the engine's backlog and while its own prompt is read. Late requests queue
+# behind those that can still meet their target.
+IN_TIME_FRACTION = 0.5
+# Random fraction added to retry delays so that refused clients do not retry at the same time.
+RETRY_AFTER_JITTER_FRACTION = 0.5
+MIN_RETRY_AFTER_SECONDS = 0.2
+MAX_RETRY_AFTER_SECONDS = 1.5
 
 
 class PlacementRefusal(msgspec.Struct, frozen=True):
-    """A request that surely does not run; the caller may come back after a time."""
+    """The outcome for a request that certainly did not run; the client may retry it later."""
 
     reason: str
     retry_after_seconds: float
-    # What decided: expected wait, tokens of this gateway's requests ahead, endpoints that were not
-    # paused, and whether the team was above its share.
-    wait_seconds: float
+    expected_wait_seconds: float
+    # Uncached prompt tokens of the requests before this one in this gateway's queue.
     tokens_ahead: int
-    candidates: int
+    # Endpoints that could receive requests when the decision was made.
+    candidate_count: int
+    # Whether the request's team was above its fair share.
     over_share: bool
 
 
 class WaitingRequest:
-    """One request that needs an endpoint."""
+    """A request that waits for an endpoint. Times are seconds of ``clocks.boot_time``."""
 
     __slots__ = (
         "arrived_at",
-        "excluded",
+        "excluded_endpoint_ids",
         "future",
         "in_time_until",
-        "keys",
+        "prefix_keys",
         "refuse_at",
         "route",
         "service",
@@ -74,18 +77,27 @@
         self.team = team or ""
         self.refuse_at = refuse_at
         self.arrived_at = terms.arrived_at
-        # As the last choice found; all of them before the first one.
+        # Uncached prompt tokens by the latest choice; the whole prompt before the first choice.
         self.unread_tokens = terms.prompt_tokens
-        self.in_time_until = terms.arrived_at + IN_TIME_SHARE * route.target_latency_seconds
-        self.keys = prompt_cache.chain_keys(terms.parts)
-        self.excluded: set[str] = set()
+        self.in_time_until = terms.arrived_at + IN_TIME_FRACTION * route.target_latency_seconds
+        self.prefix_keys = prompt_cache.chain_keys(terms.parts)
+        self.excluded_endpoint_ids: set[str] = set()
         self.future: asyncio.Future[placement.Choice | PlacementRefusal] | None = None
 
 
-class Pool:
-    """The endpoints of a service that may get requests, during one look at those that wait."""
+class CandidatePool:
+    """The endpoints of a service that may receive requests, during one scan of its queue."""
 
-    __slots__ = ("busy", "candidates", "engine", "fleet", "full_for", "now", "placer", "states")
+    __slots__ = (
+        "busy_fraction",
+        "candidates",
+        "engine",
+        "engine_states",
+        "fleet",
+        "full_window_seconds",
+        "now",
+        "placer",
+    )
 
     def __init__(self, request_placer: "Placer", service_name: str, now: float) -> None:
         self.placer = request_placer
@@ -95,68 +107,88 @@
         configuration = self.fleet.configuration
         service = configuration.services.get(service_name) if configuration else None
         self.engine = service.engine if service else None
-        self.states: list[placement.EngineState] = []
-        self.busy = 0.0
-        # The widest window for which no engine has room; engines only fill up during a look.
-        self.full_for = 0.0
+        self.engine_states: list[placement.EngineState] = []
+        self.busy_fraction = 0.0
+        # Widest backlog window for which no engine has room. It holds for the whole scan, because
+        # engines only fill up during one.
+        self.full_window_seconds = 0.0
         if self.engine is not None:
-            self.states = placement.engine_states(
+            self.engine_states = placement.engine_states(
                 self.candidates, self.engine, self.fleet.view, now
             )
-            self.busy = placement.busy_share(self.states)
+            self.busy_fraction = placement.busy_share(self.engine_states)
+
+    def choose(
+        self, request: WaitingRequest, excess_by_team: dict[str, float]
+    ) -> placement.Choice | None:
+        """Return the best endpoint for a request, None without a candidate.
 
-    def choose(self, request: WaitingRequest, over: dict[str, float]) -> placement.Choice | None:
-        """Return the best endpoint for a request; ``over`` has the teams above their share."""
+        ``excess_by_team`` maps teams above their fair share to the multiple of it they received.
+        """
         if self.engine is None:
             candidates = self.candidates
-            if request.excluded:
-                candidates = [item for item in candidates if item.id not in request.excluded]
+            if request.excluded_endpoint_ids:
+                candidates = [
+                    item for item in candidates if item.id not in request.excluded_endpoint_ids
+                ]
             zone = self.fleet.settings.availability_zone
             return placement.choose_plain(candidates, zone, self.fleet.view, self.now)
-        states = self.states
-        if request.excluded:
-            states = [item for item in states if item.endpoint.id not in request.excluded]
+        states = self.engine_states
+        if request.excluded_endpoint_ids:
+            states = [
+                item for item in states if item.endpoint.id not in request.excluded_endpoint_ids
+            ]
         target = max(0.01, request.route.target_latency_seconds)
-        # Who is short while others have too much soon takes any engine.
-        short = bool(over) and request.team not in over
-        busy = 0.0 if short else self.busy
+        # A team below its share while others are above theirs does not wait long for the engine
+        # that caches its prefix, however busy the others are.
+        underserved = bool(excess_by_team) and request.team not in excess_by_team
+        busy_fraction = 0.0 if underserved else self.busy_fraction
         return placement.choose_engine(
             states,
             self.engine,
-            request.keys,
+            request.prefix_keys,
             request.terms,
-            placement.reread_weight(self.now - request.arrived_at, target, busy),
-            placement.window_seconds(over.get(request.team)),
+            placement.reread_weight(self.now - request.arrived_at, target, busy_fraction),
+            placement.window_seconds(excess_by_team.get(request.team)),
         )
 
     def may_have_room(self, excess: float | None) -> bool:
-        """Whether some endpoint could take a request of a team with this excess of its share.
+        """Return whether some endpoint could take a request of a team with this excess.
 
-        In an overloaded gateway this saves the choice for each of hundreds of waiting requests.
+        This check is cheaper than a choice; an overloaded gateway makes it for hundreds of waiting
+        requests in each scan.
         """
         if self.engine is None:
             return True
-        window = placement.window_seconds(excess)
-        if window <= self.full_for:
+        window_seconds = placement.window_seconds(excess)
+        if window_seconds <= self.full_window_seconds:
             return False
-        if placement.any_room(self.states, self.engine, window):
+        if placement.any_room(self.engine_states, self.engine, window_seconds):
             return True
-        self.full_for = window
+        self.full_window_seconds = window_seconds
         return False
 
-    def refresh(self, endpoint: gateway.Endpoint) -> None:
-        """Take in that an endpoint was given a request."""
-        if not self.placer.may_get(endpoint, self.now):
+    def update(self, endpoint: gateway.Endpoint) -> None:
+        """Refresh the state of an endpoint that a request was assigned to."""
+        if not self.placer.is_candidate(endpoint, self.now):
             self.candidates = [item for item in self.candidates if item.id != endpoint.id]
-            self.states = [item for item in self.states if item.endpoint.id != endpoint.id]
-        for index, state in enumerate(self.states):
+            self.engine_states = [
+                item for item in self.engine_states if item.endpoint.id != endpoint.id
+            ]
+        for index, state in enumerate(self.engine_states):
             if state.endpoint.id == endpoint.id and self.engine is not None:
                 view = self.fleet.view
-                self.states[index] = placement.EngineState(endpoint, self.engine, view, self.now)
+                self.engine_states[index] = placement.EngineState(
+                    endpoint, self.engine, view, self.now
+                )
 
 
 class Placer:
-    """Gives waiting requests endpoints: who can be in time, least served team, then by arrival."""
+    """Assigns endpoints to waiting requests.
+
+    Requests of teams within their fair share come first, then those that can still meet their
+    latency target, then those of the least served team, then the oldest.
+    """
 
     def __init__(
         self,
@@ -165,35 +197,35 @@
     ) -> None:
         self.fleet = fleet
         self.queues: dict[str, list[WaitingRequest]] = {}
-        self.pumped_at = 0.0
-        self.pause_seconds = PUMP_SECONDS
+        self.scanned_at = 0.0
+        self.scan_interval_seconds = QUEUE_SCAN_SECONDS
         self.on_prompt = on_prompt
 
     async def run(self) -> None:
-        """Look at the waiting requests from time to time, until cancelled."""
+        """Scan the queues periodically until cancelled."""
         while True:
-            started = clocks.boot_time()
+            started_at = clocks.boot_time()
             for service in list(self.queues):
-                self.pump(service)
-            spent = clocks.boot_time() - started
-            self.pause_seconds = max(PUMP_SECONDS, spent / LOOKING_SHARE)
-            await asyncio.sleep(self.pause_seconds)
+                self.process_queue(service)
+            scan_seconds = clocks.boot_time() - started_at
+            self.scan_interval_seconds = max(QUEUE_SCAN_SECONDS, scan_seconds / SCAN_CPU_FRACTION)
+            await asyncio.sleep(self.scan_interval_seconds)
 
     async def place(self, request: WaitingRequest) -> placement.Choice | PlacementRefusal:
-        """Wait until the request has an endpoint or is refused."""
+        """Wait until the request is assigned to an endpoint or refused."""
         queue = self.queues.setdefault(request.service, [])
         request.future = asyncio.get_running_loop().create_future()
         self.fleet.demand.note(
             request.team, team_usage.charged_tokens(request.terms), clocks.boot_time()
         )
         queue.append(request)
-        # With others waiting, the next regular look finds the request in its order.
-        if len(queue) == 1 or clocks.boot_time() - self.pumped_at > self.pause_seconds:
-            self.pump(request.service)
+        # With other requests waiting, the next periodic scan handles this one in its order.
+        if len(queue) == 1 or clocks.boot_time() - self.scanned_at > self.scan_interval_seconds:
+            self.process_queue(request.service)
         try:
             return await request.future
         except asyncio.CancelledError:
-            # The client may leave after the endpoint was reserved and before this task goes on.
+            # The client may disconnect between the reservation and the resumption of this task.
             if request.future.done() and not request.future.cancelled():
                 self.release(request, request.future.result())
             raise
@@ -201,104 +233,111 @@
             if request in queue:
                 queue.remove(request)
 
-    def pump(self, service: str) -> None:
-        """Give endpoints to the waiting requests of a service and refuse hopeless ones."""
+    def process_queue(self, service: str) -> None:
+        """Assign endpoints to the waiting requests of a service and refuse those too late."""
         queue = self.queues.get(service)
         if not queue:
             self.queues.pop(service, None)
             return
-        now = self.pumped_at = clocks.boot_time()
+        now = self.scanned_at = clocks.boot_time()
         usage = self.fleet.usage.totals(now)
-        asked = self.fleet.demand.totals(now)
-        over = team_usage.excess_of_share(asked, usage)
-        speed = self.read_speed(service, asked, now)
+        demand = self.fleet.demand.totals(now)
+        excess_by_team = team_usage.excess_of_share(demand, usage)
+        read_rate = self.read_tokens_per_second(service, demand, now)
         queue.sort(
             key=lambda item: (
-                item.team in over,
+                item.team in excess_by_team,
                 now > item.in_time_until,
                 usage.get(item.team, 0.0),
                 item.arrived_at,
             )
         )
-        pool = Pool(self, service, now)
-        ahead = 0
-        blocked = 0
+        pool = CandidatePool(self, service, now)
+        tokens_ahead = 0
+        failed_choices = 0
         for request in list(queue):
             if request.future is None or request.future.done():
                 continue
-            # When many get nothing, the rest is only checked for refusal.
             choice = None
-            if blocked < MOST_BLOCKED and pool.may_have_room(over.get(request.team)):
-                choice = pool.choose(request, over)
+            if failed_choices < MAX_FAILED_CHOICES and pool.may_have_room(
+                excess_by_team.get(request.team)
+            ):
+                choice = pool.choose(request, excess_by_team)
             if choice is not None and choice.allowed:
                 self.reserve(request, choice, now)
                 queue.remove(request)
                 request.future.set_result(choice)
-                pool.refresh(choice.endpoint)
+                pool.update(choice.endpoint)
                 continue
-            blocked += 1
+            failed_choices += 1
             if choice is not None:
                 request.unread_tokens = choice.unread_tokens
-            waits_in_vain = bool(pool.candidates) and (now + ahead / speed > request.refuse_at)
-            if now >= request.refuse_at or waits_in_vain:
+            cannot_be_in_time = bool(pool.candidates) and (
+                now + tokens_ahead / read_rate > request.refuse_at
+            )
+            if now >= request.refuse_at or cannot_be_in_time:
                 queue.remove(request)
-                request.future.set_result(self.refuse(request, pool.candidates, ahead, speed, over))
+                request.future.set_result(
+                    self.build_refusal(
+                        request, pool.candidates, tokens_ahead, read_rate, excess_by_team
+                    )
+                )
                 continue
-            ahead += request.unread_tokens
+            tokens_ahead += request.unread_tokens
 
-    def read_speed(self, service: str, asked: dict[str, float], now: float) -> float:
-        """Return the tokens a second that this gateway may count on.
+    def read_tokens_per_second(self, service: str, demand: dict[str, float], now: float) -> float:
+        """Return this gateway's expected share of the engines' read rate, in tokens per second.
 
-        The balancer spreads clients unevenly; a gateway counts on the part of the engines that its
-        part of all arrivals needs.
+        The balancer distributes clients unevenly, so the share is the gateway's fraction of all
+        arriving tokens, and at least an equal share among the live gateways.
         """
         engines = max(1, len(self.fleet.table.usable(service, now)))
-        total = sum(asked.values())
-        part = sum(self.fleet.demand.own.values()) / total if total > 0 else 1.0
-        part = min(1.0, max(part, 1.0 / len(self.fleet.live_gateways)))
-        return placement.READ_TOKENS_PER_SECOND * engines * part
+        total = sum(demand.values())
+        fraction = sum(self.fleet.demand.own.values()) / total if total > 0 else 1.0
+        fraction = min(1.0, max(fraction, 1.0 / len(self.fleet.live_gateways)))
+        return placement.READ_TOKENS_PER_SECOND * engines * fraction
 
-    def refuse(
+    def build_refusal(
         self,
         request: WaitingRequest,
         candidates: list[gateway.Endpoint],
-        ahead: int,
-        speed: float,
-        over: dict[str, float],
+        tokens_ahead: int,
+        read_rate: float,
+        excess_by_team: dict[str, float],
     ) -> PlacementRefusal:
-        """Return a refusal with a time to come back."""
-        wait = ahead / speed
-        spread = 1.0 + RETURN_SPREAD * random.random()
+        """Return a refusal with a randomized retry delay."""
+        expected_wait_seconds = tokens_ahead / read_rate
+        jitter = 1.0 + RETRY_AFTER_JITTER_FRACTION * random.random()
         return PlacementRefusal(
             reason="no capacity in time" if candidates else "no endpoint",
             retry_after_seconds=min(
-                LONGEST_RETURN_SECONDS, (wait + SHORTEST_RETURN_SECONDS) * spread
+                MAX_RETRY_AFTER_SECONDS, (expected_wait_seconds + MIN_RETRY_AFTER_SECONDS) * jitter
             ),
-            wait_seconds=wait,
-            tokens_ahead=ahead,
-            candidates=len(candidates),
-            over_share=request.team in over,
+            expected_wait_seconds=expected_wait_seconds,
+            tokens_ahead=tokens_ahead,
+            candidate_count=len(candidates),
+            over_share=request.team in excess_by_team,
         )
 
     def candidates(self, service_name: str, now: float) -> list[gateway.Endpoint]:
-        """Return the endpoints that may get a request now."""
+        """Return the endpoints of a service that may receive a request now."""
         usable = self.fleet.table.usable(service_name, now)
-        return [endpoint for endpoint in usable if self.may_get(endpoint, now)]
+        return [endpoint for endpoint in usable if self.is_candidate(endpoint, now)]
 
-    def may_get(self, endpoint: gateway.Endpoint, now: float) -> bool:
-        """Whether an endpoint is not left alone for now, and warm or within its pace."""
+    def is_candidate(self, endpoint: gateway.Endpoint, now: float) -> bool:
+        """Return whether an endpoint is not paused and is warm or within its cold-start rate."""
         configuration = self.fleet.configuration
         service = configuration.services.get(endpoint.service) if configuration else None
         return (
             service is not None
             and not self.fleet.health.paused(endpoint.id, now)
-            and self.warm_or_paced(endpoint, service, now)
+            and self.is_warm_or_within_cold_rate(endpoint, service, now)
         )
 
-    def warm_or_paced(
+    def is_warm_or_within_cold_rate(
         self, endpoint: gateway.Endpoint, service: gateway.Service, now: float
     ) -> bool:
-        """Whether an endpoint is warm, or this process may send it a request now."""
+        """Return whether an endpoint is warm or its cold-start rate admits a request now."""
         if self.fleet.table.cold_until(endpoint) <= now:
             return True
         rate = service.cold_requests_per_second
@@ -311,13 +350,13 @@
         return self.fleet.pace.may_send(endpoint.id, rate, own_id, gateways, now)
 
     def release(self, request: WaitingRequest, placed: placement.Choice | PlacementRefusal) -> None:
-        """Take back the reservation of a request that will not be sent."""
+        """Release the reservation of a request that will not be sent."""
         if isinstance(placed, placement.Choice):
             memory_tokens = request.terms.prompt_tokens + request.terms.output_tokens
             self.fleet.loads.end(placed.endpoint.id, memory_tokens, placed.unread_tokens)
 
     def reserve(self, request: WaitingRequest, choice: placement.Choice, now: float) -> None:
-        """Count a request at its endpoint before it is sent."""
+        """Add a request to the load of its endpoint before it is sent."""
         fleet = self.fleet
         endpoint = choice.endpoint
         terms = request.terms
@@ -329,10 +368,10 @@
             return
         if service.engine is not None:
             cache = fleet.caches.engine(endpoint.id, service.engine.cache_tokens)
-            cache.note_read(request.keys)
-            self.on_prompt(endpoint.id, request.keys)
+            cache.note_read(request.prefix_keys)
+            self.on_prompt(endpoint.id, request.prefix_keys)
             fleet.usage.note(request.team, team_usage.charged_tokens(terms), now)
         if fleet.table.cold_until(endpoint) > now and service.cold_requests_per_second > 0:
             fleet.pace.note_sent(
-                endpoint.id, service.cold_requests_per_second, fleet.known_gateways, now
+                endpoint.id, service.cold_requests_per_second, fleet.known_gateway_count, now
             )
--- a/src/masticward/gateway/prover.py
+++ b/src/masticward/gateway/prover.py
@@ -1,4 +1,4 @@
-"""Proves to all gateways that the configuration in force is the newest, with few calls."""
+"""Renews the proof that the configuration in force is the newest, with few calls per fleet."""
 
 import asyncio
 import collections.abc
@@ -9,18 +9,20 @@
 from masticward.gateway import followers, sources
 from masticward.utils import clocks
 
-# A proof of this age is renewed. Keys need one within revoke_seconds (5 s on the users' sites).
-RENEW_SECONDS = 1.0
-# Gateways renew at different times: the first one tells the others, which need no call then.
-SPREAD_SECONDS = 1.0
+# Age at which a proof is renewed. API keys need a proof that is younger than revoke_seconds (5 s at
+# the users' sites).
+RENEWAL_AGE_SECONDS = 1.0
+# Random delay added to that age, so that the first gateway to renew its proof can share it with the
+# others, which then need no call.
+RENEWAL_JITTER_SECONDS = 1.0
 POLL_SECONDS = 0.1
-# Least time between two calls while the store does not answer or a newer version is told.
-RETRY_SECONDS = 0.4
+# Shortest time between two reads, while the store does not answer or a peer has a newer version.
+MIN_READ_INTERVAL_SECONDS = 0.4
 LOGGER = logs.get_logger(__name__)
 
 
 class Prover:
-    """Reads the configuration when no gateway has proven it lately."""
+    """Reads the configuration when no gateway has proven it recently."""
 
     def __init__(
         self,
@@ -33,37 +35,37 @@
         self.fleet = fleet
         self.follower = follower
         self.on_proof = on_proof
-        self.renew_age = RENEW_SECONDS
-        self.asked_at = 0.0
+        self.renewal_age_seconds = RENEWAL_AGE_SECONDS
+        self.requested_at = 0.0
 
     async def run(self) -> None:
-        """Renew the proof until cancelled."""
+        """Renew the proof whenever it is due, until cancelled."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
-            if self.due(clocks.boot_time()):
-                await self.prove()
+            if self.renewal_is_due(clocks.boot_time()):
+                await self.renew_proof()
 
-    def due(self, now: float) -> bool:
-        """Whether this process has to ask the store now."""
+    def renewal_is_due(self, now: float) -> bool:
+        """Return whether this process has to read the configuration now."""
         fleet = self.fleet
-        if fleet.configuration is None or now - self.asked_at < RETRY_SECONDS:
+        if fleet.configuration is None or now - self.requested_at < MIN_READ_INTERVAL_SECONDS:
             return False
         if fleet.newest_peer_version > fleet.configuration.version:
             return True
-        return now - fleet.configuration_proven_at > self.renew_age
+        return now - fleet.configuration_proven_at > self.renewal_age_seconds
 
-    async def prove(self) -> None:
-        """Read the configuration and tell the peers of it."""
-        asked_at = self.asked_at = clocks.boot_time()
-        self.renew_age = RENEW_SECONDS + SPREAD_SECONDS * random.random()
+    async def renew_proof(self) -> None:
+        """Read the configuration and notify the peers of the new proof."""
+        requested_at = self.requested_at = clocks.boot_time()
+        self.renewal_age_seconds = RENEWAL_AGE_SECONDS + RENEWAL_JITTER_SECONDS * random.random()
         try:
             listing = await self.source.list_objects(sources.ObjectKind.PROOFS)
         except errors.StoreError as error:
             LOGGER.log(
                 events.Event.PROOF_UNAVAILABLE,
-                age=round(asked_at - self.fleet.configuration_proven_at, 2),
+                age=round(requested_at - self.fleet.configuration_proven_at, 2),
                 error=str(error),
             )
             return
-        self.follower.apply_configuration_listing(listing, asked_at)
+        self.follower.apply_configuration_listing(listing, requested_at)
         self.on_proof()
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -1,4 +1,4 @@
-"""One request on its way to endpoints and back."""
+"""Forwards a client's request to endpoints and relays the response."""
 
 import asyncio
 import collections.abc
@@ -13,18 +13,20 @@
 from masticward.transport import http1_server
 from masticward.utils import clocks, identifiers
 
-# The final answer leaves this much before the client's deadline, to arrive within it.
-ANSWER_MARGIN_SECONDS = 0.03
-# Less time than this is not worth an attempt.
-SHORTEST_ATTEMPT_SECONDS = 0.02
-STALE_KEYS_RETURN_SECONDS = 0.5
-# A sound endpoint begins to answer within its expected time, this factor and this much more.
-# Replicas that lose an answer stay silent; callers give a stream up after a gap of 2 s or more.
-SILENCE_FACTOR = 3.0
-SILENCE_SECONDS = 1.2
-PLAIN_SILENCE_SECONDS = 0.35
-# Longest pause within a stream before it is resumed elsewhere; sheets allow 0.3 to 0.4 s.
-PAUSE_SECONDS = 1.2
+# The final response is sent this long before the client's deadline, to arrive in time.
+RESPONSE_MARGIN_SECONDS = 0.03
+# An attempt is not worth making with less time than this.
+MIN_ATTEMPT_SECONDS = 0.02
+STALE_PROOF_RETRY_AFTER_SECONDS = 0.5
+# A healthy endpoint begins its response within its expected time multiplied by the factor, plus the
+# margin. Replicas that lose a response send nothing at all; clients abandon a stream after a gap of
+# 2 s or more.
+RESPONSE_TIMEOUT_FACTOR = 3.0
+STREAM_RESPONSE_MARGIN_SECONDS = 1.2
+PLAIN_RESPONSE_MARGIN_SECONDS = 0.35
+# Longest gap within a response before the request is retried or the stream is resumed at another
+# endpoint; the service sheets allow gaps of 0.3 to 0.4 s.
+READ_TIMEOUT_SECONDS = 1.2
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)")
 LOGGER = logs.get_logger(__name__)
@@ -32,7 +34,7 @@
 
 
 class RefusalError(errors.MasticwardError):
-    """Raised when a request is answered by the gateway itself."""
+    """Raised when the gateway answers a request itself; ``status`` is the HTTP status."""
 
     def __init__(self, status: int, reason: str, retry_after_seconds: float | None = None) -> None:
         super().__init__(reason)
@@ -41,20 +43,23 @@
         self.retry_after_seconds = retry_after_seconds
 
 
-class Progress:
-    """How far a request has come. ``runs`` counts sends that may have run."""
+class RequestProgress:
+    """Progress of a request over its attempts.
 
-    __slots__ = ("last_event_id", "runs", "sends", "started_client")
+    ``sends`` counts attempts that were sent, ``runs`` those that may have run.
+    """
+
+    __slots__ = ("last_event_id", "response_started", "runs", "sends")
 
     def __init__(self, last_event_id: str | None) -> None:
         self.runs = 0
         self.sends = 0
-        self.started_client = False
+        self.response_started = False
         self.last_event_id = last_event_id
 
 
 class RequestDependencies:
-    """What all requests of a process share."""
+    """Objects that all requests of a process share."""
 
     __slots__ = ("codec", "endpoint_client", "fleet", "meters", "placer")
 
@@ -73,14 +78,14 @@
         self.meters = meters
 
 
-def check_keys_provable(fleet: fleet_module.FleetState) -> None:
-    """Raise RefusalError if a key may have been taken away without this process knowing."""
+def require_fresh_proof(fleet: fleet_module.FleetState) -> None:
+    """Raise RefusalError if an API key may have been revoked unknown to this process."""
     if not fleet.proof_is_fresh(clocks.boot_time()):
-        raise RefusalError(503, "keys cannot be proven", STALE_KEYS_RETURN_SECONDS)
+        raise RefusalError(503, "API keys cannot be verified", STALE_PROOF_RETRY_AFTER_SECONDS)
 
 
 class ProxiedRequest:
-    """One request on its way to endpoints and back."""
+    """A client's request, forwarded to one endpoint after another until it is answered."""
 
     def __init__(
         self,
@@ -98,44 +103,44 @@
         self.team = team
         self.body = body
         self.responder = responder
-        self.progress = Progress(terms.last_event_id)
+        self.progress = RequestProgress(terms.last_event_id)
         self.service = choose_service(route, terms.request_id)
-        self.final_at = min(
-            terms.deadline - ANSWER_MARGIN_SECONDS, terms.arrived_at + route.timeout_seconds
+        self.response_deadline = min(
+            terms.deadline - RESPONSE_MARGIN_SECONDS, terms.arrived_at + route.timeout_seconds
         )
-        self.waiting = placer.WaitingRequest(
+        self.waiting_request = placer.WaitingRequest(
             terms,
             route,
             self.service,
             team,
             min(
-                self.final_at,
-                terms.arrived_at + placer.WAIT_SHARE * route.target_latency_seconds,
+                self.response_deadline,
+                terms.arrived_at + placer.MAX_WAIT_FRACTION * route.target_latency_seconds,
             ),
         )
 
     async def run(self) -> None:
-        """Serve the request; raises RefusalError."""
+        """Serve the request; raises RefusalError if nothing was sent to the client."""
         self.fleet.budget(self.service).note_request(clocks.boot_time())
         try:
-            async with asyncio.timeout(max(0.0, self.final_at - clocks.boot_time())):
+            async with asyncio.timeout(max(0.0, self.response_deadline - clocks.boot_time())):
                 while not await self.attempt():
                     pass
         except RefusalError as refusal:
-            if not self.progress.started_client:
+            if not self.progress.response_started:
                 raise
-            self.note_cut("cut by endpoint", refusal.reason)
+            self.record_cut_stream("cut by endpoint", refusal.reason)
         except TimeoutError:
-            if self.progress.started_client:
-                self.note_cut("cut at deadline", "deadline")
+            if self.progress.response_started:
+                self.record_cut_stream("cut at deadline", "deadline")
                 return
             if self.progress.runs:
                 raise RefusalError(504, "deadline passed after a send") from None
-            raise RefusalError(503, "deadline passed", placer.SHORTEST_RETURN_SECONDS) from None
+            raise RefusalError(503, "deadline passed", placer.MIN_RETRY_AFTER_SECONDS) from None
 
     async def attempt(self) -> bool:
-        """Make one attempt; returns False if another should follow."""
-        placed = await self.dependencies.placer.place(self.waiting)
+        """Make one attempt; return False if another should follow."""
+        placed = await self.dependencies.placer.place(self.waiting_request)
         if isinstance(placed, placer.PlacementRefusal):
             LOGGER.log(
                 events.Event.NO_ENDPOINT_IN_TIME,
@@ -145,53 +150,53 @@
                 team=self.team,
                 over_share=placed.over_share,
                 waited_ms=round((clocks.boot_time() - self.terms.arrived_at) * 1000),
-                expected_wait_ms=round(placed.wait_seconds * 1000),
+                expected_wait_ms=round(placed.expected_wait_seconds * 1000),
                 tokens_ahead=placed.tokens_ahead,
-                candidates=placed.candidates,
+                candidates=placed.candidate_count,
                 live_gateways=len(self.fleet.live_gateways),
             )
-            raise self.give_up(placed.reason, placed.retry_after_seconds)
+            raise self.final_refusal(placed.reason, placed.retry_after_seconds)
         endpoint = placed.endpoint
-        held = HeldLoad(self.fleet, endpoint.id, placed, self.terms)
+        reservation = LoadReservation(self.fleet, endpoint.id, placed, self.terms)
         try:
-            return await self.attempt_at(endpoint, placed, held)
+            return await self.attempt_at(endpoint, placed, reservation)
         except errors.EndpointNotStartedError as error:
-            self.waiting.excluded.add(endpoint.id)
+            self.waiting_request.excluded_endpoint_ids.add(endpoint.id)
             if error.overloaded:
                 self.fleet.health.note_shed(endpoint.id, clocks.boot_time())
-            self.note_failure(endpoint, "not started", str(error))
+            self.record_failed_attempt(endpoint, "not started", str(error))
             return False
         except errors.EndpointBrokenError as error:
-            self.waiting.excluded.add(endpoint.id)
+            self.waiting_request.excluded_endpoint_ids.add(endpoint.id)
             self.fleet.health.note_failure(endpoint.id, clocks.boot_time())
-            self.note_failure(endpoint, "broken", str(error))
-            if self.may_repeat():
+            self.record_failed_attempt(endpoint, "broken", str(error))
+            if self.may_retry():
                 return False
-            if self.progress.started_client:
-                self.note_cut("cut by endpoint", str(error))
+            if self.progress.response_started:
+                self.record_cut_stream("cut by endpoint", str(error))
                 return True
             raise RefusalError(502, f"endpoint failed: {error}") from error
         finally:
-            held.end()
+            reservation.release()
 
-    def give_up(self, reason: str, retry_after_seconds: float) -> RefusalError:
-        """Return the final answer of a request that gets no further endpoint."""
+    def final_refusal(self, reason: str, retry_after_seconds: float) -> RefusalError:
+        """Return the refusal of a request that gets no further attempt."""
         if self.progress.runs:
             return RefusalError(502, f"{reason} after a failed attempt")
         return RefusalError(503, reason, retry_after_seconds)
 
-    def note_cut(self, outcome: str, reason: str) -> None:
-        """Count and log a stream whose head was sent and whose end is missing."""
-        self.dependencies.meters.note_outcome(outcome, 0)
+    def record_cut_stream(self, outcome: str, reason: str) -> None:
+        """Count and log a response that was started but not completed."""
+        self.dependencies.meters.count_outcome(outcome, 0)
         LOGGER.log(events.Event.STREAM_CUT, request_id=self.terms.request_id, reason=reason)
 
-    def may_repeat(self) -> bool:
-        """Whether the route allows another run."""
+    def may_retry(self) -> bool:
+        """Return whether the route allows another run."""
         return self.route.repeatable and self.progress.runs < self.route.max_attempts
 
-    def note_failure(self, endpoint: gateway.Endpoint, outcome: str, detail: str) -> None:
-        """Log a failed attempt."""
-        self.dependencies.meters.attempts.labels(outcome).inc()
+    def record_failed_attempt(self, endpoint: gateway.Endpoint, outcome: str, detail: str) -> None:
+        """Count and log a failed attempt."""
+        self.dependencies.meters.failed_attempts.labels(outcome).inc()
         LOGGER.log(
             events.Event.GATEWAY_ATTEMPT_FAILED,
             request_id=self.terms.request_id,
@@ -202,26 +207,29 @@
         )
 
     async def attempt_at(
-        self, endpoint: gateway.Endpoint, placed: placement.Choice, held: "HeldLoad"
+        self, endpoint: gateway.Endpoint, placed: placement.Choice, reservation: "LoadReservation"
     ) -> bool:
-        """Call one endpoint and pass its answer on."""
-        # A client's close that has already arrived is handled first, and cancels this request: in
-        # a busy process it may lie behind the request's own bytes.
+        """Send the request to one endpoint and relay its response.
+
+        Return False if another attempt should follow.
+        """
+        # Let the event loop process a disconnect of the client that has already arrived, which
+        # cancels this request. In a busy process it may be queued behind the request's own bytes.
         await asyncio.sleep(0)
         connection = await self.dependencies.endpoint_client.connect(endpoint)
         now = clocks.boot_time()
         try:
             if self.team is not None:
-                check_keys_provable(self.fleet)
+                require_fresh_proof(self.fleet)
                 if self.fleet.team_of(self.terms.api_key) != self.team:
-                    raise RefusalError(401, "the key was taken away")
-            remaining = self.final_at - now
-            if remaining < SHORTEST_ATTEMPT_SECONDS:
-                raise self.give_up("deadline passed", placer.SHORTEST_RETURN_SECONDS)
+                    raise RefusalError(401, "API key revoked")
+            remaining_seconds = self.response_deadline - now
+            if remaining_seconds < MIN_ATTEMPT_SECONDS:
+                raise self.final_refusal("deadline passed", placer.MIN_RETRY_AFTER_SECONDS)
             if self.progress.sends and not self.fleet.budget(self.service).take(
-                now, self.fleet.known_gateways
+                now, self.fleet.known_gateway_count
             ):
-                raise self.give_up("retry budget used up", placer.LONGEST_RETURN_SECONDS)
+                raise self.final_refusal("retry budget used up", placer.MAX_RETRY_AFTER_SECONDS)
         except RefusalError:
             connection.channel.abort()
             raise
@@ -243,132 +251,137 @@
             config=self.fleet.configuration.version if self.fleet.configuration else None,
         )
         try:
-            call = await self.until_silent(
+            call = await self.wait_with_timeout(
                 self.dependencies.endpoint_client.call(
                     endpoint,
                     self.terms,
                     self.team,
                     self.body,
-                    int(remaining * 1000),
+                    int(remaining_seconds * 1000),
                     self.progress.last_event_id,
                     connection,
                 ),
-                self.patience_seconds(placed),
+                self.response_timeout_seconds(placed),
             )
         except errors.EndpointNotStartedError:
             self.progress.runs -= 1
             raise
         try:
-            return await self.relay(call, held, now)
+            return await self.relay(call, reservation, now)
         finally:
             call.finish()
 
-    def patience_seconds(self, placed: placement.Choice) -> float:
-        """Return the time that a sound endpoint needs at most to begin its answer."""
-        expected = placed.expected_seconds * placed.slowness * SILENCE_FACTOR
+    def response_timeout_seconds(self, placed: placement.Choice) -> float:
+        """Return the time within which a healthy endpoint begins its response."""
+        expected_seconds = placed.expected_seconds * placed.slowness * RESPONSE_TIMEOUT_FACTOR
         if self.route.kind is gateway.RequestKind.STREAM:
-            return expected + SILENCE_SECONDS
-        return expected + PLAIN_SILENCE_SECONDS
+            return expected_seconds + STREAM_RESPONSE_MARGIN_SECONDS
+        return expected_seconds + PLAIN_RESPONSE_MARGIN_SECONDS
 
-    async def until_silent(
-        self, step: collections.abc.Awaitable[StepT], patience_seconds: float
+    async def wait_with_timeout(
+        self, step: collections.abc.Awaitable[StepT], timeout_seconds: float
     ) -> StepT:
-        """Wait for a step of an endpoint's answer.
+        """Await a step of an endpoint's response.
 
-        Raises EndpointBrokenError if it takes too long and the request may run again elsewhere.
+        Raises EndpointBrokenError on time-out. The time-out applies only while the request may
+        run again at another endpoint.
         """
-        if not self.may_repeat():
+        if not self.may_retry():
             return await step
         try:
-            async with asyncio.timeout(patience_seconds) as limit:
+            async with asyncio.timeout(timeout_seconds) as timeout:
                 return await step
         except TimeoutError:
-            if not limit.expired():
+            if not timeout.expired():
                 raise
-            raise errors.EndpointBrokenError(f"silent for {patience_seconds:.2f} s") from None
+            raise errors.EndpointBrokenError(f"silent for {timeout_seconds:.2f} s") from None
 
-    async def relay(self, call: calls.Call, held: "HeldLoad", sent_at: float) -> bool:
-        """Pass an answer on to the client; returns False if another attempt should follow."""
-        answer, marks = call.answer, call.marks
-        succeeded = 200 <= answer.status < 300
+    async def relay(
+        self, call: calls.EndpointCall, reservation: "LoadReservation", sent_at: float
+    ) -> bool:
+        """Relay a response to the client; return False if another attempt should follow."""
+        response, marks = call.response, call.marks
+        succeeded = 200 <= response.status < 300
         if marks.encoded or (succeeded and not marks.proven):
-            raise errors.EndpointBrokenError("not the endpoint's own answer")
+            raise errors.EndpointBrokenError("response was not produced by the endpoint")
         if succeeded and self.route.kind is gateway.RequestKind.STREAM:
-            await self.relay_stream(call, held, sent_at)
-            self.note_success(call, sent_at)
+            await self.relay_stream(call, reservation, sent_at)
+            self.record_success(call, sent_at)
             return True
-        body = await self.until_silent(call.exchange.read_body(), PAUSE_SECONDS)
-        if answer.status >= 500:
+        body = await self.wait_with_timeout(call.exchange.read_body(), READ_TIMEOUT_SECONDS)
+        if response.status >= 500:
             self.fleet.health.note_failure(call.endpoint.id, clocks.boot_time())
-            if self.may_repeat() and not self.progress.started_client:
-                self.waiting.excluded.add(call.endpoint.id)
-                self.note_failure(call.endpoint, "failed", f"status {answer.status}")
+            if self.may_retry() and not self.progress.response_started:
+                self.waiting_request.excluded_endpoint_ids.add(call.endpoint.id)
+                self.record_failed_attempt(call.endpoint, "failed", f"status {response.status}")
                 return False
-        if self.progress.started_client:
-            raise errors.EndpointBrokenError(f"status {answer.status} to a resumed stream")
-        headers = self.dependencies.codec.response_headers(answer.headers)
-        await self.responder.send(answer.status, headers, body)
-        if answer.status < 500:
-            self.note_success(call, sent_at)
+        if self.progress.response_started:
+            raise errors.EndpointBrokenError(f"status {response.status} to a resumed stream")
+        headers = self.dependencies.codec.response_headers(response.headers)
+        await self.responder.send(response.status, headers, body)
+        if response.status < 500:
+            self.record_success(call, sent_at)
         else:
-            self.dependencies.meters.note_outcome("answered", answer.status)
+            self.dependencies.meters.count_outcome("answered", response.status)
         return True
 
-    def note_success(self, call: calls.Call, sent_at: float) -> None:
-        """Count and log a whole answer."""
+    def record_success(self, call: calls.EndpointCall, sent_at: float) -> None:
+        """Count and log a complete response."""
         now = clocks.boot_time()
         self.fleet.health.note_success(call.endpoint.id, now)
-        self.dependencies.meters.note_outcome("answered", call.answer.status)
+        self.dependencies.meters.count_outcome("answered", call.response.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_ANSWERED,
             request_id=self.terms.request_id,
             endpoint=call.endpoint.id,
-            status=call.answer.status,
+            status=call.response.status,
             total_ms=round((now - self.terms.arrived_at) * 1000),
         )
 
-    async def relay_stream(self, call: calls.Call, held: "HeldLoad", sent_at: float) -> None:
-        """Pass events on as they arrive; whole events only where the stream may be resumed."""
+    async def relay_stream(
+        self, call: calls.EndpointCall, reservation: "LoadReservation", sent_at: float
+    ) -> None:
+        """Relay events as they arrive; only complete events if the stream may be resumed."""
         buffered = b""
         while True:
-            data = await self.until_silent(call.exchange.read_data(), PAUSE_SECONDS)
-            if not held.read:
-                held.note_first_event()
+            data = await self.wait_with_timeout(call.exchange.read_data(), READ_TIMEOUT_SECONDS)
+            if not reservation.prompt_read:
+                reservation.record_first_event()
                 now = clocks.boot_time()
-                expected = held.choice.expected_seconds
-                self.fleet.health.note_speed(call.endpoint.id, now - sent_at, expected, now)
+                expected_seconds = reservation.choice.expected_seconds
+                self.fleet.health.note_speed(call.endpoint.id, now - sent_at, expected_seconds, now)
                 self.dependencies.meters.first_event.observe(now - self.terms.arrived_at)
             if data is None:
                 break
             if self.route.resumable:
                 buffered += data
                 data, buffered = split_events(buffered)
-                self.note_event_id(data)
-            await self.pass_on(call, data)
-        await self.pass_on(call, buffered)
+                self.record_event_id(data)
+            await self.forward(call, data)
+        await self.forward(call, buffered)
         await self.responder.end()
 
-    async def pass_on(self, call: calls.Call, data: bytes) -> None:
-        """Write bytes of a stream, after the head of its first answer."""
+    async def forward(self, call: calls.EndpointCall, data: bytes) -> None:
+        """Write data of a stream to the client, the response head before the first data."""
         if not data:
             return
-        if not self.progress.started_client:
-            self.progress.started_client = True
-            headers = self.dependencies.codec.response_headers(call.answer.headers)
-            await self.responder.start(call.answer.status, headers)
+        if not self.progress.response_started:
+            self.progress.response_started = True
+            headers = self.dependencies.codec.response_headers(call.response.headers)
+            await self.responder.start(call.response.status, headers)
         await self.responder.write(data)
 
-    def note_event_id(self, data: bytes) -> None:
-        """Remember the last event that the client has been sent."""
-        found = EVENT_ID.findall(data)
-        if found:
-            self.progress.last_event_id = found[-1].decode("latin-1")
+    def record_event_id(self, data: bytes) -> None:
+        """Store the id of the last event in data that is sent to the client."""
+        event_ids = EVENT_ID.findall(data)
+        if event_ids:
+            self.progress.last_event_id = event_ids[-1].decode("latin-1")
 
 
-class HeldLoad:
-    """The load that one attempt counts for at its endpoint."""
+class LoadReservation:
+    """The load that one attempt adds to its endpoint."""
 
-    __slots__ = ("choice", "endpoint_id", "fleet", "memory_tokens", "read")
+    __slots__ = ("choice", "endpoint_id", "fleet", "memory_tokens", "prompt_read")
 
     def __init__(
         self,
@@ -381,22 +394,22 @@
         self.endpoint_id = endpoint_id
         self.choice = choice
         self.memory_tokens = terms.prompt_tokens + terms.output_tokens
-        self.read = False
+        self.prompt_read = False
 
-    def note_first_event(self) -> None:
-        """Note that the prompt has been read."""
-        if not self.read:
-            self.read = True
+    def record_first_event(self) -> None:
+        """Mark the prompt as read, which the first event shows."""
+        if not self.prompt_read:
+            self.prompt_read = True
             self.fleet.loads.note_read(self.endpoint_id, self.choice.unread_tokens)
 
-    def end(self) -> None:
-        """Note the end of the attempt."""
-        unread_left = 0 if self.read else self.choice.unread_tokens
-        self.fleet.loads.end(self.endpoint_id, self.memory_tokens, unread_left)
+    def release(self) -> None:
+        """Remove the attempt's load from its endpoint."""
+        remaining_unread_tokens = 0 if self.prompt_read else self.choice.unread_tokens
+        self.fleet.loads.end(self.endpoint_id, self.memory_tokens, remaining_unread_tokens)
 
 
 def choose_service(route: gateway.Route, request_id: str) -> str:
-    """Return the service of a request, by the weights of its route."""
+    """Return the service of a request by the weights of its route; stable for a request id."""
     if len(route.shares) == 1:
         return route.shares[0].service
     total = sum(share.weight for share in route.shares)
@@ -409,7 +422,7 @@
 
 
 def split_events(data: bytes) -> tuple[bytes, bytes]:
-    """Return the whole events and the rest."""
+    """Split data into complete events and the rest."""
     end = 0
     for match in EVENT_END.finditer(data):
         end = match.end()
--- a/src/masticward/gateway/snapshots.py
+++ b/src/masticward/gateway/snapshots.py
@@ -1,4 +1,4 @@
-"""Passes configuration and listings on to gateways that cannot read the store themselves."""
+"""Snapshots of configuration and listings, for gateways that cannot read the store."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 from masticward.utils import clocks
 
 POLL_SECONDS = 0.2
-# A store that works answers within this time; what it has not brought by then, a peer may have.
-STORE_SECONDS = 0.7
+# A working store answers within this time. After it, missing data is fetched from a peer.
+STORE_TIMEOUT_SECONDS = 0.7
 CONNECT_TIMEOUT_SECONDS = 0.5
 FETCH_TIMEOUT_SECONDS = 1.0
 LOGGER = logs.get_logger(__name__)
@@ -34,7 +34,7 @@
         self, request: http1_server.Request, responder: http1_server.Responder
     ) -> None:
         """Answer with the snapshot, or with 503 while there is none."""
-        snapshot = take_snapshot(self.fleet)
+        snapshot = build_snapshot(self.fleet)
         if snapshot is None:
             await responder.send(503, [], b"")
             return
@@ -42,8 +42,8 @@
         await responder.send(200, [content_type], gateway_snapshots.encode(snapshot))
 
 
-def take_snapshot(fleet: fleet_module.FleetState) -> gateway_snapshots.Snapshot | None:
-    """Return what this process knows from the store, None while something is missing."""
+def build_snapshot(fleet: fleet_module.FleetState) -> gateway_snapshots.Snapshot | None:
+    """Return the data that this process has from the store, None while it is incomplete."""
     configuration = fleet.configuration
     if configuration is None or not fleet.endpoints_known:
         return None
@@ -66,72 +66,74 @@
     def __init__(
         self,
         fleet: fleet_module.FleetState,
-        peers: peering.Peering,
-        by_kind: dict[sources.ObjectKind, followers.Follower],
+        peer_exchange: peering.Peering,
+        followers_by_kind: dict[sources.ObjectKind, followers.Follower],
     ) -> None:
         self.fleet = fleet
-        self.peers = peers
-        self.by_kind = by_kind
-        # Most peers know another listing than this process.
+        self.peer_exchange = peer_exchange
+        self.followers_by_kind = followers_by_kind
+        # Whether most peers have another listing than this process.
         self.listing_differs = False
         self.behind_since: float | None = None
 
     async def run(self) -> None:
-        """Look for what is missing until cancelled."""
+        """Check for missing data periodically and fetch it, until cancelled."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
             now = clocks.boot_time()
-            if not self.behind():
+            if not self.is_behind():
                 self.behind_since = None
             elif self.behind_since is None:
                 self.behind_since = now
-            elif now - self.behind_since > STORE_SECONDS:
+            elif now - self.behind_since > STORE_TIMEOUT_SECONDS:
                 await self.catch_up()
 
-    def behind(self) -> bool:
-        """Whether peers know more from the store than this process."""
+    def is_behind(self) -> bool:
+        """Return whether peers have newer data from the store than this process."""
         fleet = self.fleet
         if fleet.configuration is None or not fleet.endpoints_known:
             return True
         if fleet.newest_peer_version > fleet.configuration.version:
             return True
-        self.listing_differs &= self.by_kind[sources.ObjectKind.ENDPOINTS].lost
+        self.listing_differs &= self.followers_by_kind[
+            sources.ObjectKind.ENDPOINTS
+        ].store_unavailable
         return self.listing_differs
 
     async def catch_up(self) -> None:
-        """Take over the snapshot of the peer with the newest configuration."""
+        """Fetch and apply the snapshot of the peer with the newest configuration."""
         peer = self.best_peer()
         if peer is None:
             return
-        asked_at = clocks.boot_time()
+        requested_at = clocks.boot_time()
         try:
-            snapshot = await fetch((peer.ip, self.fleet.settings.peer_port))
+            snapshot = await fetch_snapshot((peer.ip, self.fleet.settings.peer_port))
         except errors.PeerSnapshotError as error:
             LOGGER.log(events.Event.PEER_SNAPSHOT_FAILED, peer=peer.instance_id, error=str(error))
             return
         self.listing_differs = False
-        apply_snapshot(self.fleet, snapshot, asked_at, peer.instance_id)
+        apply_snapshot(self.fleet, snapshot, requested_at, peer.instance_id)
         for kind in (sources.ObjectKind.ENDPOINTS, sources.ObjectKind.EVACUATIONS):
-            # The store's own listing replaces the peer's as soon as there is one.
-            self.by_kind[kind].relist_requested.set()
+            # The store's listing replaces the peer's as soon as the store answers.
+            self.followers_by_kind[kind].relist_requested.set()
 
     def best_peer(self) -> peering.Peer | None:
-        """Return a live peer with the newest configuration and the newest proof of it."""
-        found = [
+        """Return the live peer with the newest configuration and, among those, the newest proof."""
+        candidates = [
             (
                 peer.last_report.configuration_version,
                 -peer.last_report.configuration_proof_age,
                 peer,
             )
-            for peer in self.peers.peers.values()
+            for peer in self.peer_exchange.peers.values()
             if peer.live
             and peer.last_report is not None
             and peer.last_report.configuration_version > 0
         ]
-        return max(found, key=lambda item: item[:2])[2] if found else None
+        return max(candidates, key=lambda item: item[:2])[2] if candidates else None
 
 
-async def fetch(address: tuple[str, int]) -> gateway_snapshots.Snapshot:
+async def fetch_snapshot(address: tuple[str, int]) -> gateway_snapshots.Snapshot:
     """Fetch a peer's snapshot; raises PeerSnapshotError."""
     channel = None
     try:
@@ -139,10 +141,10 @@
         async with asyncio.timeout(FETCH_TIMEOUT_SECONDS):
             exchange = http1.Exchange(channel)
             await exchange.send(b"GET", b"/snapshot", [(b"Host", address[0].encode())], b"")
-            answer = await exchange.read_head()
+            response = await exchange.read_head()
             body = await exchange.read_body()
-        if answer.status != 200:
-            raise errors.PeerSnapshotError(f"status {answer.status}")
+        if response.status != 200:
+            raise errors.PeerSnapshotError(f"status {response.status}")
         return gateway_snapshots.decode(body)
     except (TimeoutError, errors.EndpointError, msgspec.DecodeError) as error:
         raise errors.PeerSnapshotError(f"{type(error).__name__} {error}") from error
@@ -152,14 +154,17 @@
 
 
 def apply_snapshot(
-    fleet: fleet_module.FleetState, snapshot: gateway_snapshots.Snapshot, asked_at: float, peer: str
+    fleet: fleet_module.FleetState,
+    snapshot: gateway_snapshots.Snapshot,
+    requested_at: float,
+    peer: str,
 ) -> None:
-    """Take over a peer's snapshot.
+    """Apply a peer's snapshot.
 
-    The peer stated the age of its proof after ``asked_at``, so the proof is not older than the age
-    before that moment.
+    The peer determined the age of its proof after ``requested_at``, so the proof dates at the
+    earliest from that time minus the age.
     """
-    fleet.apply_configuration(snapshot.configuration, asked_at - snapshot.proof_age, peer)
+    fleet.apply_configuration(snapshot.configuration, requested_at - snapshot.proof_age, peer)
     now = clocks.boot_time()
     fleet.apply_endpoints(
         [
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -1,4 +1,4 @@
-"""What the gateway needs from the platform, as abstract classes that the adapter implements."""
+"""Interfaces of the gateway to the platform, implemented by the platform adapter."""
 
 import abc
 import enum
@@ -10,25 +10,25 @@
 
 
 class ObjectKind(enum.Enum):
-    """The kinds of stored objects that the gateway reads."""
+    """The kinds of stored object that the gateway reads."""
 
     ENDPOINTS = "endpoints"
     CONFIGURATION = "configuration"
-    # The configuration once more, on a connection of its own: a watch may wait on the other one.
+    # The configuration again, on a separate connection because a watch may block the other one.
     PROOFS = "proofs"
     EVACUATIONS = "evacuations"
     MEMBERS = "members"
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A gateway process as it registers itself."""
+    """A gateway process as it is registered in the store."""
 
     instance_id: str
     ip: str
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """A stored object: ``value`` is None if it cannot be used."""
+    """A stored object; ``value`` is None if it was removed or cannot be decoded."""
 
     name: str
     value: typing.Any
@@ -36,7 +36,7 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """Objects with the store's revision; ``complete`` is False for the changes of a watch."""
+    """Objects at a revision of the store; ``complete`` is False for the changes of a watch."""
 
     items: tuple[StoredObject, ...]
     revision: int
@@ -46,9 +46,9 @@
 class FleetSource(abc.ABC):
     """Reads and writes objects of the platform's store.
 
-    Every call raises StoreUnavailableError if there is no usable answer, HistoryLostError if the
-    store no longer has the changes since a revision. ``calls`` and ``failed_calls`` count from
-    the start of the process.
+    Every call raises StoreUnavailableError if there is no usable response, HistoryLostError if
+    the store no longer has the changes since a revision. ``calls`` and ``failed_calls`` count
+    from the start of the process.
     """
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
 
     @abc.abstractmethod
     async def list_objects(self, kind: ObjectKind) -> Listing:
-        """Return all objects of a kind as they are now."""
+        """Return all current objects of a kind."""
 
     @abc.abstractmethod
     async def watch(self, kind: ObjectKind, revision: int, wait_seconds: float) -> Listing:
@@ -65,11 +65,11 @@
 
     @abc.abstractmethod
     async def register(self, member: Member) -> None:
-        """Store this process among the members."""
+        """Register this process as a member."""
 
 
 class RequestCodec(abc.ABC):
-    """Translates headers of requests and answers."""
+    """Translates headers of requests and responses."""
 
     @abc.abstractmethod
     def decode_request(
@@ -79,7 +79,7 @@
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
     ) -> gateway.RequestTerms:
-        """Return what a request says of itself; raises BadRequestError."""
+        """Return the decoded terms of a client's request; raises BadRequestError."""
 
     @abc.abstractmethod
     def encode_request(
@@ -91,20 +91,20 @@
         body_bytes: int,
         last_event_id: str | None,
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of the request to an endpoint."""
+        """Return the headers of a request to an endpoint."""
 
     @abc.abstractmethod
     def decode_response_head(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> gateway.AnswerMarks:
-        """Return what the head of an endpoint's answer says."""
+        """Return the decoded head of an endpoint's response."""
 
     @abc.abstractmethod
     def response_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an endpoint's answer that a client gets."""
+        """Return the headers of an endpoint's response that are forwarded to the client."""
 
     @abc.abstractmethod
     def refusal_headers(
         self, request_id: str | None, retry_after_seconds: float | None
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer of the gateway's own."""
+        """Return the headers of a response that the gateway generates itself."""
--- a/tests/functional/test_gateway_snapshots.py
+++ b/tests/functional/test_gateway_snapshots.py
@@ -30,8 +30,8 @@
         settings = builders.make_settings(peer_port=self.port)
         self.fleet = snapshots.fleet_module.FleetState(settings)
         self.peers = peering.Peering(self.fleet, builders.UnusedStore())
-        self.by_kind = followers.create_followers(builders.UnusedStore(), self.fleet)
-        self.fetcher = snapshots.SnapshotFetcher(self.fleet, self.peers, self.by_kind)
+        self.followers_by_kind = followers.create_followers(builders.UnusedStore(), self.fleet)
+        self.fetcher = snapshots.SnapshotFetcher(self.fleet, self.peers, self.followers_by_kind)
 
     def hear_peer(self, version: int = 5) -> None:
         figures = gateway_peers.PeerFigures(
@@ -57,7 +57,7 @@
 class SnapshotTest(SnapshotCase):
     async def test_a_gateway_that_starts_without_a_store_learns_all_from_a_peer(self) -> None:
         self.hear_peer()
-        self.assertTrue(self.fetcher.behind())
+        self.assertTrue(self.fetcher.is_behind())
         before = clocks.boot_time()
         await self.fetcher.catch_up()
         assert self.fleet.configuration is not None
@@ -67,14 +67,14 @@
         self.assertLessEqual(self.fleet.configuration_proven_at, before)
         self.assertLess(self.fleet.table.endpoints["e1"].cold_until, clocks.boot_time())
         self.assertGreater(self.fleet.table.endpoints["e2"].cold_until, before + 1.0)
-        self.assertFalse(self.fetcher.behind())
+        self.assertFalse(self.fetcher.is_behind())
 
     async def test_a_newer_configuration_than_the_own_one_is_fetched(self) -> None:
         self.fleet.apply_configuration(builders.make_configuration(3), 1.0, "test")
         self.fleet.apply_endpoints([], True)
-        self.assertFalse(self.fetcher.behind())
+        self.assertFalse(self.fetcher.is_behind())
         self.hear_peer()
-        self.assertTrue(self.fetcher.behind())
+        self.assertTrue(self.fetcher.is_behind())
         await self.fetcher.catch_up()
         self.assertEqual(5, self.fleet.configuration.version)  # type: ignore[union-attr]
 
@@ -89,19 +89,23 @@
         self.fleet.apply_endpoints([], True)
         self.hear_peer()
         self.fetcher.listing_differs = True
-        self.assertFalse(self.fetcher.behind())
-        self.by_kind[sources.ObjectKind.ENDPOINTS].note_lost(errors.StoreUnavailableError("x"))
+        self.assertFalse(self.fetcher.is_behind())
+        self.followers_by_kind[sources.ObjectKind.ENDPOINTS].record_failure(
+            errors.StoreUnavailableError("x")
+        )
         self.fetcher.listing_differs = True
-        self.assertTrue(self.fetcher.behind())
+        self.assertTrue(self.fetcher.is_behind())
         await self.fetcher.catch_up()
         self.assertEqual({"e1", "e2"}, set(self.fleet.table.endpoints))
-        self.assertTrue(self.by_kind[sources.ObjectKind.ENDPOINTS].relist_requested.is_set())
+        self.assertTrue(
+            self.followers_by_kind[sources.ObjectKind.ENDPOINTS].relist_requested.is_set()
+        )
 
     async def test_a_peer_that_knows_nothing_gives_nothing(self) -> None:
         self.other.configuration = None
         self.hear_peer()
         with self.assertRaises(errors.PeerSnapshotError):
-            await snapshots.fetch(("127.0.0.1", self.port))
+            await snapshots.fetch_snapshot(("127.0.0.1", self.port))
         await self.fetcher.catch_up()
         self.assertIsNone(self.fleet.configuration)
 
@@ -113,4 +117,4 @@
             unittest.mock.patch.object(snapshots, "FETCH_TIMEOUT_SECONDS", 0.1),
             self.assertRaises(errors.PeerSnapshotError),
         ):
-            await snapshots.fetch(("127.0.0.1", port))
+            await snapshots.fetch_snapshot(("127.0.0.1", port))
--- a/tests/unit/test_gateway_peering.py
+++ b/tests/unit/test_gateway_peering.py
@@ -90,7 +90,7 @@
         self.receive(sent_at=50.0, incarnation=2)
         self.receive(sent_at=51.0, incarnation=1, loads={"e1": (10, 1, 10)})
         self.assertEqual(0, self.fleet.loads.total("e1").requests)
-        self.now += peering.LIVE_SECONDS + 0.1
+        self.now += peering.LIVENESS_TIMEOUT_SECONDS + 0.1
         self.receive(sent_at=51.0, incarnation=1, loads={"e1": (10, 1, 10)})
         self.assertEqual(1, self.fleet.loads.total("e1").requests)
 
@@ -98,10 +98,10 @@
         self.receive()
         self.peering.update_liveness()
         self.assertEqual(["g1", "g2"], self.fleet.live_gateways)
-        self.now += peering.LIVE_SECONDS + 0.1
+        self.now += peering.LIVENESS_TIMEOUT_SECONDS + 0.1
         self.peering.update_liveness()
         self.assertEqual(["g1"], self.fleet.live_gateways)
-        self.assertEqual(3, self.fleet.known_gateways)
+        self.assertEqual(3, self.fleet.known_gateway_count)
 
     def test_an_unreadable_datagram_changes_nothing(self) -> None:
         self.peering.datagram_received(b"\xc1 not msgpack", ("127.0.0.2", 1))
@@ -118,7 +118,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.listings = 0
-        self.peering.on_difference = self.note_listing
+        self.peering.on_listing_mismatch = self.note_listing
 
     def note_listing(self) -> None:
         self.listings += 1
@@ -172,14 +172,14 @@
         self.told += 1
 
     async def test_a_proof_that_a_peer_told_saves_the_call(self) -> None:
-        self.now += prover.RENEW_SECONDS + prover.SPREAD_SECONDS
-        self.assertTrue(self.prover.due(self.now))
+        self.now += prover.RENEWAL_AGE_SECONDS + prover.RENEWAL_JITTER_SECONDS
+        self.assertTrue(self.prover.renewal_is_due(self.now))
         self.fleet.configuration_proven_at = self.now - 0.5
-        self.assertFalse(self.prover.due(self.now))
+        self.assertFalse(self.prover.renewal_is_due(self.now))
 
     async def test_a_newer_version_that_a_peer_has_is_read_at_once(self) -> None:
         self.fleet.newest_peer_version = 9
-        self.assertTrue(self.prover.due(self.now))
+        self.assertTrue(self.prover.renewal_is_due(self.now))
 
     async def test_a_proof_is_read_and_told(self) -> None:
         listing = sources.Listing(
@@ -189,14 +189,14 @@
         )
         self.now += 3.0
         with unittest.mock.patch.object(builders.UnusedStore, "list_objects", return_value=listing):
-            await self.prover.prove()
+            await self.prover.renew_proof()
         self.assertEqual([self.now, 1], [self.fleet.configuration_proven_at, self.told])
 
     async def test_a_store_that_does_not_answer_proves_nothing(self) -> None:
         self.now += 3.0
         failure = errors.StoreUnavailableError("config", "silent")
         with unittest.mock.patch.object(builders.UnusedStore, "list_objects", side_effect=failure):
-            await self.prover.prove()
+            await self.prover.renew_proof()
         self.assertEqual([100.0, 0], [self.fleet.configuration_proven_at, self.told])
 
 
@@ -236,7 +236,7 @@
         for _ in range(2):
             for _, peers in self.gateways:
                 for ip in by_ip:
-                    peers.add(f"g{int(ip.rpartition('.')[2]) - 1}", ip)
+                    peers.add_peer(f"g{int(ip.rpartition('.')[2]) - 1}", ip)
                 peers.send_reports()
                 peers.update_liveness()
                 self.now += 0.001
--- a/tests/unit/test_gateway_waiting.py
+++ b/tests/unit/test_gateway_waiting.py
@@ -46,7 +46,7 @@
     async def free_engine(self) -> None:
         """End all work at the engine and let the next request begin."""
         self.fleet.loads.own.clear()
-        self.placer.pump("llm")
+        self.placer.process_queue("llm")
         await asyncio.sleep(0)
 
     def served(self, tasks: list[asyncio.Task[placement.Choice | placer.PlacementRefusal]]) -> int:
@@ -91,8 +91,8 @@
         flood = await self.ask("flood")
         self.assertFalse(flood.done())
         small = await self.ask("small")
-        self.now += placer.PUMP_SECONDS
-        self.placer.pump("llm")
+        self.now += placer.QUEUE_SCAN_SECONDS
+        self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertEqual([False, True], [flood.done(), small.done()])
 
@@ -117,7 +117,7 @@
         self.now += placement.PATIENT_SHARE * route.target_latency_seconds
         self.fleet.usage.note_peer("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
         self.fleet.demand.note_peer("g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now)
-        self.placer.pump("llm")
+        self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertTrue(task.done())
 
@@ -154,8 +154,8 @@
         small = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(small)
         await asyncio.sleep(0)
-        self.now += placer.PUMP_SECONDS
-        self.placer.pump("llm")
+        self.now += placer.QUEUE_SCAN_SECONDS
+        self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertEqual(1, self.served([small]))
 
@@ -172,8 +172,8 @@
 class RefusalTest(WaitingCase):
     async def test_everyone_at_twice_capacity_is_refused_early_not_at_the_deadline(self) -> None:
         tasks = [await self.ask("a", patience=0.6) for _ in range(20)]
-        self.now += placer.PUMP_SECONDS
-        self.placer.pump("llm")
+        self.now += placer.QUEUE_SCAN_SECONDS
+        self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertEqual(1, self.served(tasks))
         self.assertGreater(self.refused(tasks), 15)
@@ -183,8 +183,8 @@
         self.fleet.live_gateways = [f"g{number}" for number in range(25)]
         await self.ask("a")
         waiting = [await self.ask("a", patience=0.8) for _ in range(2)]
-        self.now += placer.PUMP_SECONDS
-        self.placer.pump("llm")
+        self.now += placer.QUEUE_SCAN_SECONDS
+        self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertEqual(0, self.refused(waiting))
 
@@ -196,14 +196,14 @@
             if task.done() and isinstance(task.result(), placer.PlacementRefusal)
         }
         self.assertGreater(len(times), 10)
-        self.assertLessEqual(max(times), placer.LONGEST_RETURN_SECONDS)
+        self.assertLessEqual(max(times), placer.MAX_RETRY_AFTER_SECONDS)
 
     async def test_a_request_is_refused_when_its_patience_ends(self) -> None:
         await self.ask("a")
         waiting = await self.ask("a", patience=0.5)
         self.assertFalse(waiting.done())
         self.now += 0.6
-        self.placer.pump("llm")
+        self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertIsInstance(waiting.result(), placer.PlacementRefusal)
 
@@ -218,7 +218,7 @@
         await self.ask("a")
         waiting = await self.ask("a")
         self.fleet.loads.own.clear()
-        self.placer.pump("llm")
+        self.placer.process_queue("llm")
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         self.assertTrue(waiting.cancelled())
@@ -235,7 +235,7 @@
         for _ in range(20):
             self.now += 0.05
             self.fleet.loads.own.clear()
-            self.placer.pump("llm")
+            self.placer.process_queue("llm")
             await asyncio.sleep(0)
         bounds = builders.make_bounds()
         most = 3 * (8.0 * bounds.cold_overage + bounds.cold_slack)
@@ -264,12 +264,12 @@
     async def test_a_gateway_cut_off_from_its_peers_takes_no_more_than_its_part(self) -> None:
         cold = builders.make_endpoint("c1", cold_until=self.now + 3.0)
         self.fleet.apply_endpoints([("c1", cold)], True)
-        self.fleet.known_gateways = 26
+        self.fleet.known_gateway_count = 26
         tasks = [await self.ask("a") for _ in range(20)]
         for _ in range(20):
             self.now += 0.05
             self.fleet.loads.own.clear()
-            self.placer.pump("llm")
+            self.placer.process_queue("llm")
             await asyncio.sleep(0)
         self.assertLessEqual(self.served(tasks), 8.0 / cold_pace.COLD_SENDERS + 1)
 
