--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -1,4 +1,4 @@
-"""Accepts clients' requests: checks them, finds route and team, and answers refusals."""
+"""Handles clients' requests: finds route and team, forwards them or answers with a refusal."""
 
 import asyncio
 
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -40,7 +40,7 @@
     expected_wait_seconds: float
     # Uncached prompt tokens of the requests before this one in this gateway's queue.
     tokens_ahead: int
-    # Endpoints that could receive requests when the decision was made.
+    # Endpoints that were neither paused nor, as cold ones, at their request rate.
     candidate_count: int
     # Whether the request's team was above its fair share.
     over_share: bool
--- a/tests/functional/test_gateway_snapshots.py
+++ b/tests/functional/test_gateway_snapshots.py
@@ -1,4 +1,8 @@
-"""Guards gateways that start, or go on, while they cannot read the store."""
+"""Tests snapshots between gateways.
+
+They guard against a gateway that cannot serve because it starts, or falls behind its peers, while
+it cannot read the store.
+"""
 
 import asyncio
 import unittest.mock
@@ -13,7 +17,7 @@
 
 
 class SnapshotCase(loops.UvloopTestCase):
-    """A gateway g2 that knows everything, and g1 whose store does not answer."""
+    """A gateway g2 with all data from the store, and g1 whose store is unavailable."""
 
     async def asyncSetUp(self) -> None:
         now = clocks.boot_time()
@@ -29,12 +33,12 @@
         self.addCleanup(server.stop_listening)
         settings = builders.make_settings(peer_port=self.port)
         self.fleet = snapshots.fleet_module.FleetState(settings)
-        self.peers = peering.Peering(self.fleet, builders.UnusedStore())
+        self.peering = peering.Peering(self.fleet, builders.UnusedStore())
         self.followers_by_kind = followers.create_followers(builders.UnusedStore(), self.fleet)
-        self.fetcher = snapshots.SnapshotFetcher(self.fleet, self.peers, self.followers_by_kind)
+        self.fetcher = snapshots.SnapshotFetcher(self.fleet, self.peering, self.followers_by_kind)
 
-    def hear_peer(self, version: int = 5) -> None:
-        figures = gateway_peers.PeerFigures(
+    def receive_report(self, version: int = 5) -> None:
+        report = gateway_peers.PeerFigures(
             instance_id="g2",
             ip="127.0.0.1",
             incarnation=1,
@@ -48,46 +52,48 @@
             prompts=[],
             members=[],
         )
-        raw = gateway_peers.encode_content(figures)
-        data = gateway_peers.encode(gateway_peers.PeerMessage(clocks.boot_time(), 0.0, 0, raw))
-        self.peers.datagram_received(data, ("127.0.0.1", 1))
-        self.peers.update_liveness()
+        content = gateway_peers.encode_content(report)
+        data = gateway_peers.encode(gateway_peers.PeerMessage(clocks.boot_time(), 0.0, 0, content))
+        self.peering.datagram_received(data, ("127.0.0.1", 1))
+        self.peering.update_liveness()
 
 
 class SnapshotTest(SnapshotCase):
-    async def test_a_gateway_that_starts_without_a_store_learns_all_from_a_peer(self) -> None:
-        self.hear_peer()
+    """Guards against missing, outdated or endless fetches of a peer's snapshot."""
+
+    async def test_a_gateway_that_starts_without_a_store_gets_all_data_from_a_peer(self) -> None:
+        self.receive_report()
         self.assertTrue(self.fetcher.is_behind())
         before = clocks.boot_time()
         await self.fetcher.catch_up()
         assert self.fleet.configuration is not None
         self.assertEqual(5, self.fleet.configuration.version)
         self.assertEqual(self.other.table.digest(), self.fleet.table.digest())
-        # The proof keeps its age; it must not look newer than it is.
+        # The proof keeps its age and must not be dated later.
         self.assertLessEqual(self.fleet.configuration_proven_at, before)
         self.assertLess(self.fleet.table.endpoints["e1"].cold_until, clocks.boot_time())
         self.assertGreater(self.fleet.table.endpoints["e2"].cold_until, before + 1.0)
         self.assertFalse(self.fetcher.is_behind())
 
-    async def test_a_newer_configuration_than_the_own_one_is_fetched(self) -> None:
+    async def test_a_newer_configuration_of_a_peer_is_fetched(self) -> None:
         self.fleet.apply_configuration(builders.make_configuration(3), 1.0, "test")
         self.fleet.apply_endpoints([], True)
         self.assertFalse(self.fetcher.is_behind())
-        self.hear_peer()
+        self.receive_report()
         self.assertTrue(self.fetcher.is_behind())
         await self.fetcher.catch_up()
         self.assertEqual(5, self.fleet.configuration.version)  # type: ignore[union-attr]
 
-    async def test_an_older_configuration_is_not_taken(self) -> None:
+    async def test_an_older_configuration_is_ignored(self) -> None:
         self.fleet.apply_configuration(builders.make_configuration(7), 1.0, "test")
-        self.hear_peer()
+        self.receive_report()
         await self.fetcher.catch_up()
         self.assertEqual(7, self.fleet.configuration.version)  # type: ignore[union-attr]
 
-    async def test_another_listing_is_fetched_only_while_the_store_is_lost(self) -> None:
+    async def test_another_listing_is_fetched_only_while_the_store_is_unavailable(self) -> None:
         self.fleet.apply_configuration(builders.make_configuration(5), 1.0, "test")
         self.fleet.apply_endpoints([], True)
-        self.hear_peer()
+        self.receive_report()
         self.fetcher.listing_differs = True
         self.assertFalse(self.fetcher.is_behind())
         self.followers_by_kind[sources.ObjectKind.ENDPOINTS].record_failure(
@@ -101,15 +107,15 @@
             self.followers_by_kind[sources.ObjectKind.ENDPOINTS].relist_requested.is_set()
         )
 
-    async def test_a_peer_that_knows_nothing_gives_nothing(self) -> None:
+    async def test_a_peer_without_a_configuration_provides_no_snapshot(self) -> None:
         self.other.configuration = None
-        self.hear_peer()
+        self.receive_report()
         with self.assertRaises(errors.PeerSnapshotError):
             await snapshots.fetch_snapshot(("127.0.0.1", self.port))
         await self.fetcher.catch_up()
         self.assertIsNone(self.fleet.configuration)
 
-    async def test_a_silent_peer_does_not_hold_the_fetch(self) -> None:
+    async def test_a_fetch_from_a_silent_peer_times_out(self) -> None:
         silent = await asyncio.start_server(lambda *_: asyncio.sleep(5.0), "127.0.0.1", 0)
         self.addCleanup(silent.close)
         port = silent.sockets[0].getsockname()[1]
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -1,16 +1,16 @@
-"""Builders of the gateway's data for tests."""
+"""Builders of the gateway's objects for tests."""
 
 from masticward.gateway import fleet as fleet_module
 from masticward.gateway import sources
 from masticward.models import gateway
 
 CACHE_TOKENS = 500_000
-# Long enough that a gateway has heard its peers.
-STARTED_BEFORE_SECONDS = 60.0
+# Long enough that a gateway has received reports from its peers.
+UPTIME_SECONDS = 60.0
 
 
 def make_settings(**changes: object) -> gateway.GatewaySettings:
-    """Return settings of a gateway on loopback."""
+    """Return settings of a gateway on the loopback interface."""
     values: dict[str, object] = {
         "instance_id": "g1",
         "ip": "127.0.0.1",
@@ -112,9 +112,9 @@
 
 
 def make_fleet(*endpoints: gateway.Endpoint, now: float = 0.0) -> fleet_module.FleetState:
-    """Return the beliefs of a gateway that knows the given endpoints."""
+    """Return the fleet state of a gateway with the given endpoints, proven at ``now``."""
     fleet = fleet_module.FleetState(make_settings())
-    fleet.started_at = now - STARTED_BEFORE_SECONDS
+    fleet.started_at = now - UPTIME_SECONDS
     fleet.apply_configuration(make_configuration(), now, "test")
     fleet.apply_endpoints([(item.id, item) for item in endpoints], True)
     return fleet
@@ -128,7 +128,7 @@
     arrived_at: float = 0.0,
     seconds: float = 8.0,
 ) -> gateway.RequestTerms:
-    """Return a request with a shared part and one of its own."""
+    """Return a request whose prompt has a shared part and a part of its own."""
     return gateway.RequestTerms(
         request_id=request_id,
         method=b"POST",
@@ -150,7 +150,7 @@
 
 
 class UnusedStore(sources.FleetSource):
-    """A store that is not used."""
+    """A store that must not be called."""
 
     async def list_objects(self, kind: sources.ObjectKind) -> sources.Listing:
         raise NotImplementedError
--- a/tests/unit/test_gateway_peering.py
+++ b/tests/unit/test_gateway_peering.py
@@ -1,4 +1,8 @@
-"""Guards what a gateway believes of its peers' messages."""
+"""Tests the messages between gateways and the proofs of the configuration.
+
+They guard against stale or reordered datagrams that change the fleet state, and against listings
+and reads of the store that no gateway needs.
+"""
 
 import asyncio
 import unittest
@@ -33,7 +37,7 @@
         digest: int = 0,
         name: str = "g2",
     ) -> None:
-        figures = gateway_peers.PeerFigures(
+        report = gateway_peers.PeerFigures(
             instance_id=name,
             ip=f"127.0.0.{name[1:]}",
             incarnation=incarnation,
@@ -49,44 +53,49 @@
         )
         own = self.peering.incarnation if echo_incarnation is None else echo_incarnation
         message = gateway_peers.PeerMessage(
-            sent_at, echo, own, gateway_peers.encode_content(figures)
+            sent_at, echo, own, gateway_peers.encode_content(report)
         )
         self.peering.datagram_received(gateway_peers.encode(message), ("127.0.0.2", 1))
 
 
 class ProofTest(PeeringCase):
-    def test_a_proof_is_dated_by_the_echo_not_by_the_receipt(self) -> None:
-        # A datagram that waited while this process was frozen proves nothing newer.
+    """Guards against keys that are accepted because a peer's proof is dated too late."""
+
+    def test_a_proof_is_dated_by_the_echo_and_not_by_the_receipt(self) -> None:
+        # The datagram may have been queued while this process was suspended.
         self.receive(echo=95.0, proof_age=0.5)
         self.assertEqual(94.5, self.fleet.configuration_proven_at)
 
-    def test_a_proof_of_another_version_does_not_count(self) -> None:
+    def test_a_proof_of_another_version_is_ignored(self) -> None:
         self.receive(echo=99.0, version=2)
         self.assertEqual(90.0, self.fleet.configuration_proven_at)
 
-    def test_an_echo_of_an_earlier_incarnation_does_not_count(self) -> None:
+    def test_an_echo_of_an_earlier_incarnation_proves_nothing(self) -> None:
         self.receive(echo=99.0, echo_incarnation=self.peering.incarnation - 1)
         self.assertEqual(90.0, self.fleet.configuration_proven_at)
 
-    def test_an_echo_from_the_future_does_not_count(self) -> None:
+    def test_an_echo_from_the_future_proves_nothing(self) -> None:
         self.receive(echo=200.0)
         self.assertEqual(90.0, self.fleet.configuration_proven_at)
 
 
-class FiguresTest(PeeringCase):
-    def test_an_overtaken_datagram_is_dropped(self) -> None:
+class ReportTest(PeeringCase):
+    """Guards against reordered, unreadable or outdated reports that replace newer ones."""
+
+    def test_a_reordered_datagram_is_dropped(self) -> None:
         self.receive(sent_at=2.0, loads={"e1": (10, 1, 10)})
         self.receive(sent_at=1.0, loads={"e1": (99, 9, 99)})
         self.assertEqual(1, self.fleet.loads.total("e1").requests)
 
-    def test_a_restarted_peer_counts_from_its_new_start(self) -> None:
+    def test_a_restarted_peer_replaces_its_earlier_incarnation(self) -> None:
         self.receive(sent_at=50.0, incarnation=1, loads={"e1": (99, 9, 99)})
         self.receive(sent_at=1.0, incarnation=2, loads={"e1": (10, 1, 10)})
         self.assertEqual(1, self.fleet.loads.total("e1").requests)
         self.receive(sent_at=60.0, incarnation=1, loads={"e1": (99, 9, 99)})
         self.assertEqual(1, self.fleet.loads.total("e1").requests)
 
-    def test_a_start_after_the_time_of_day_was_set_back_is_heard(self) -> None:
+    def test_a_lower_incarnation_is_accepted_after_the_liveness_timeout(self) -> None:
+        # The peer was restarted after its wall clock was set back.
         self.receive(sent_at=50.0, incarnation=2)
         self.receive(sent_at=51.0, incarnation=1, loads={"e1": (10, 1, 10)})
         self.assertEqual(0, self.fleet.loads.total("e1").requests)
@@ -94,7 +103,7 @@
         self.receive(sent_at=51.0, incarnation=1, loads={"e1": (10, 1, 10)})
         self.assertEqual(1, self.fleet.loads.total("e1").requests)
 
-    def test_silence_takes_a_peer_out_of_the_live_gateways(self) -> None:
+    def test_a_silent_peer_is_removed_from_the_live_gateways(self) -> None:
         self.receive()
         self.peering.update_liveness()
         self.assertEqual(["g1", "g2"], self.fleet.live_gateways)
@@ -107,23 +116,23 @@
         self.peering.datagram_received(b"\xc1 not msgpack", ("127.0.0.2", 1))
         self.assertEqual({}, self.peering.peers)
 
-    def test_members_are_learnt_from_peers(self) -> None:
+    def test_members_in_a_report_are_added_as_peers(self) -> None:
         self.receive()
         self.assertEqual({"g2", "g3"}, set(self.peering.peers))
 
 
-class ListingDifferenceTest(PeeringCase):
-    """Guards against a watch that hangs while other gateways hear of changes."""
+class ListingMismatchTest(PeeringCase):
+    """Guards against a hanging watch that keeps a gateway behind, and against needless listings."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.listings = 0
-        self.peering.on_listing_mismatch = self.note_listing
+        self.listing_requests = 0
+        self.peering.on_listing_mismatch = self.count_listing
 
-    def note_listing(self) -> None:
-        self.listings += 1
+    def count_listing(self) -> None:
+        self.listing_requests += 1
 
-    def play(self, digests: dict[str, int], seconds: float = 1.2) -> None:
+    def exchange_reports(self, digests: dict[str, int], seconds: float = 1.2) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += 0.1
@@ -132,20 +141,20 @@
             self.peering.update_liveness()
             self.peering.compare_listings()
 
-    def test_a_listing_that_most_peers_know_is_fetched(self) -> None:
-        self.play({"g2": 7, "g3": 7, "g4": self.fleet.table.digest()})
-        self.assertEqual(1, self.listings)
+    def test_a_listing_that_most_peers_have_is_requested_once(self) -> None:
+        self.exchange_reports({"g2": 7, "g3": 7, "g4": self.fleet.table.digest()})
+        self.assertEqual(1, self.listing_requests)
 
-    def test_one_peer_that_lags_behind_causes_no_calls(self) -> None:
+    def test_a_single_lagging_peer_causes_no_listing(self) -> None:
         own = self.fleet.table.digest()
-        self.play({"g2": 7, "g3": own, "g4": own}, 5.0)
-        self.assertEqual(0, self.listings)
+        self.exchange_reports({"g2": 7, "g3": own, "g4": own}, 5.0)
+        self.assertEqual(0, self.listing_requests)
 
-    def test_a_change_on_its_way_causes_no_calls(self) -> None:
+    def test_a_change_still_being_delivered_causes_no_listing(self) -> None:
         own = self.fleet.table.digest()
-        self.play({"g2": 7, "g3": 7}, 0.5)
-        self.play({"g2": own, "g3": own}, 2.0)
-        self.assertEqual(0, self.listings)
+        self.exchange_reports({"g2": 7, "g3": 7}, 0.5)
+        self.exchange_reports({"g2": own, "g3": own}, 2.0)
+        self.assertEqual(0, self.listing_requests)
 
     def test_equal_listings_have_equal_digests(self) -> None:
         other = builders.make_fleet(builders.make_endpoint("e1"), now=90.0)
@@ -155,7 +164,7 @@
 
 
 class ProverTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against a call to the store by each gateway where one call proves it to all."""
+    """Guards against a read by each gateway where one read proves the configuration to all."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -165,23 +174,23 @@
         self.fleet = builders.make_fleet(now=self.now)
         source = builders.UnusedStore()
         follower = followers.Follower(source, self.fleet, sources.ObjectKind.CONFIGURATION)
-        self.told = 0
-        self.prover = prover.Prover(source, self.fleet, follower, self.note_told)
+        self.notifications = 0
+        self.prover = prover.Prover(source, self.fleet, follower, self.count_notification)
 
-    def note_told(self) -> None:
-        self.told += 1
+    def count_notification(self) -> None:
+        self.notifications += 1
 
-    async def test_a_proof_that_a_peer_told_saves_the_call(self) -> None:
+    async def test_a_recent_proof_of_a_peer_makes_a_read_unnecessary(self) -> None:
         self.now += prover.RENEWAL_AGE_SECONDS + prover.RENEWAL_JITTER_SECONDS
         self.assertTrue(self.prover.renewal_is_due(self.now))
         self.fleet.configuration_proven_at = self.now - 0.5
         self.assertFalse(self.prover.renewal_is_due(self.now))
 
-    async def test_a_newer_version_that_a_peer_has_is_read_at_once(self) -> None:
+    async def test_a_newer_version_of_a_peer_is_read_immediately(self) -> None:
         self.fleet.newest_peer_version = 9
         self.assertTrue(self.prover.renewal_is_due(self.now))
 
-    async def test_a_proof_is_read_and_told(self) -> None:
+    async def test_a_renewed_proof_is_announced_to_the_peers(self) -> None:
         listing = sources.Listing(
             (sources.StoredObject("main", builders.make_configuration(1)),),
             revision=7,
@@ -190,18 +199,18 @@
         self.now += 3.0
         with unittest.mock.patch.object(builders.UnusedStore, "list_objects", return_value=listing):
             await self.prover.renew_proof()
-        self.assertEqual([self.now, 1], [self.fleet.configuration_proven_at, self.told])
+        self.assertEqual([self.now, 1], [self.fleet.configuration_proven_at, self.notifications])
 
-    async def test_a_store_that_does_not_answer_proves_nothing(self) -> None:
+    async def test_an_unavailable_store_proves_nothing(self) -> None:
         self.now += 3.0
         failure = errors.StoreUnavailableError("config", "silent")
         with unittest.mock.patch.object(builders.UnusedStore, "list_objects", side_effect=failure):
             await self.prover.renew_proof()
-        self.assertEqual([100.0, 0], [self.fleet.configuration_proven_at, self.told])
+        self.assertEqual([100.0, 0], [self.fleet.configuration_proven_at, self.notifications])
 
 
-class LinkedPeers:
-    """Stands in for the network: a datagram reaches the gateway at its address at once."""
+class LoopbackTransport:
+    """A fake transport that delivers each datagram immediately to the gateway at its address."""
 
     def __init__(self, own_ip: str, by_ip: dict[str, peering.Peering]) -> None:
         self.own_ip = own_ip
@@ -211,8 +220,8 @@
         self.by_ip[address[0]].datagram_received(data, (self.own_ip, address[1]))
 
 
-class BurstOverGatewaysTest(unittest.IsolatedAsyncioTestCase):
-    """Guards against gateways that all choose one engine between two rounds of figures."""
+class BurstTest(unittest.IsolatedAsyncioTestCase):
+    """Guards against gateways that all choose the same engine between two status reports."""
 
     GATEWAYS = 8
     ENGINES = 8
@@ -230,7 +239,7 @@
             fleet = builders.make_fleet(*engines, now=self.now)
             fleet.apply_settings(builders.make_settings(instance_id=name, ip=ip))
             peers = peering.Peering(fleet, builders.UnusedStore())
-            peers.transport = LinkedPeers(ip, by_ip)  # type: ignore[assignment]
+            peers.transport = LoopbackTransport(ip, by_ip)  # type: ignore[assignment]
             by_ip[ip] = peers
             self.gateways.append((placer.Placer(fleet, peers.announce_prompt), peers))
         for _ in range(2):
@@ -241,7 +250,7 @@
                 peers.update_liveness()
                 self.now += 0.001
 
-    async def test_a_burst_over_all_gateways_is_spread_over_the_engines(self) -> None:
+    async def test_a_burst_over_all_gateways_is_distributed_over_the_engines(self) -> None:
         used = []
         for number, (gateway_placer, peers) in enumerate(self.gateways):
             terms = builders.make_terms(
@@ -256,10 +265,10 @@
             used.append(choice.endpoint.id)
             self.now += 0.001
             peers.send_changes()
-        # Without changes every gateway takes the owner of its document: two engines for all.
+        # Without load changes, every gateway chooses the engine that owns its document: only two.
         self.assertGreaterEqual(len(set(used)), self.GATEWAYS // 2)
 
-    async def test_the_end_of_a_request_reaches_the_peers(self) -> None:
+    async def test_a_finished_request_is_removed_from_the_peers_load(self) -> None:
         gateway_placer, peers = self.gateways[0]
         other = self.gateways[1][1].fleet
         terms = builders.make_terms(arrived_at=self.now)
@@ -277,15 +286,17 @@
 
 
 class DatagramTest(unittest.IsolatedAsyncioTestCase):
-    async def test_own_figures_survive_encoding(self) -> None:
+    """Guards against reports that lose or alter data when they are encoded."""
+
+    async def test_a_report_round_trips_through_the_encoding(self) -> None:
         fleet = builders.make_fleet(builders.make_endpoint("e1"))
         own = peering.Peering(fleet, builders.UnusedStore())
         fleet.loads.begin("e1", 5, 7)
         own.announce_prompt("e1", [(2**64 - 1, 10), (3, 20)])
         raw = gateway_peers.encode_content(own.build_report())
         message = gateway_peers.PeerMessage(1.0, 2.0, 3, raw)
-        _, figures = gateway_peers.decode(gateway_peers.encode(message))
-        assert isinstance(figures, gateway_peers.PeerFigures)
-        self.assertEqual({"e1": (5, 1, 7)}, figures.loads)
-        self.assertEqual([("e1", [(2**64 - 1, 10)])], figures.prompts)
+        _, report = gateway_peers.decode(gateway_peers.encode(message))
+        assert isinstance(report, gateway_peers.PeerFigures)
+        self.assertEqual({"e1": (5, 1, 7)}, report.loads)
+        self.assertEqual([("e1", [(2**64 - 1, 10)])], report.prompts)
         await asyncio.sleep(0)
--- a/tests/unit/test_gateway_waiting.py
+++ b/tests/unit/test_gateway_waiting.py
@@ -1,4 +1,7 @@
-"""Plays load patterns on the waiting requests without a network: who waits, who is refused."""
+"""Tests the queues of waiting requests under load patterns, without a network.
+
+They guard against unfair or late placement, late refusals, and overloaded cold engines.
+"""
 
 import asyncio
 import unittest
@@ -12,7 +15,7 @@
 
 
 class WaitingCase(unittest.IsolatedAsyncioTestCase):
-    """One engine, a clock that the test moves, and requests that hold the engine until told."""
+    """One engine, a fake clock, and requests that occupy the engine until the test frees it."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -22,21 +25,23 @@
         self.fleet = builders.make_fleet(builders.make_endpoint("e1"), now=self.now)
         self.placer = placer.Placer(self.fleet, lambda *_: None)
         self.tasks: list[asyncio.Task[placement.Choice | placer.PlacementRefusal]] = []
-        self.count = 0
+        self.request_count = 0
 
     async def asyncTearDown(self) -> None:
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def ask(
-        self, team: str, patience: float = 5.0
+    async def submit(
+        self, team: str, max_wait_seconds: float = 5.0
     ) -> asyncio.Task[placement.Choice | placer.PlacementRefusal]:
-        """Start waiting with a request that shares nothing with others."""
-        self.count += 1
-        terms = builders.make_terms(f"q{self.count}", f"doc{self.count}", arrived_at=self.now)
+        """Start a task that waits with a request without shared prompt parts."""
+        self.request_count += 1
+        terms = builders.make_terms(
+            f"q{self.request_count}", f"doc{self.request_count}", arrived_at=self.now
+        )
         request = placer.WaitingRequest(
-            terms, builders.make_route(), "llm", team, refuse_at=self.now + patience
+            terms, builders.make_route(), "llm", team, refuse_at=self.now + max_wait_seconds
         )
         task = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(task)
@@ -44,7 +49,7 @@
         return task
 
     async def free_engine(self) -> None:
-        """End all work at the engine and let the next request begin."""
+        """Finish all work at the engine and place the next request."""
         self.fleet.loads.own.clear()
         self.placer.process_queue("llm")
         await asyncio.sleep(0)
@@ -63,41 +68,46 @@
 
 
 class FairOrderTest(WaitingCase):
-    async def test_one_team_at_ten_times_its_share_does_not_delay_a_small_one(self) -> None:
-        flood = [await self.ask("flood") for _ in range(10)]
-        small = await self.ask("small")
-        self.assertEqual(1, self.served(flood))
+    """Guards against a team above its share that delays the requests of other teams."""
+
+    async def test_a_team_at_ten_times_its_share_does_not_delay_a_small_one(self) -> None:
+        flooding = [await self.submit("flood") for _ in range(10)]
+        small = await self.submit("small")
+        self.assertEqual(1, self.served(flooding))
         await self.free_engine()
         self.assertTrue(small.done())
-        self.assertEqual(1, self.served(flood))
+        self.assertEqual(1, self.served(flooding))
 
-    async def test_what_peers_served_counts(self) -> None:
-        await self.ask("other")
-        first = await self.ask("a")
-        second = await self.ask("b")
+    async def test_usage_reported_by_peers_counts(self) -> None:
+        await self.submit("other")
+        first = await self.submit("a")
+        second = await self.submit("b")
         self.fleet.usage.note_peer("g2", {"a": 1_000_000.0}, self.now)
         await self.free_engine()
         self.assertEqual([False, True], [first.done(), second.done()])
 
-    async def test_an_idle_engine_serves_any_team_at_once(self) -> None:
+    async def test_an_idle_engine_serves_any_team_immediately(self) -> None:
         self.fleet.usage.note_peer("g2", {"a": 1_000_000.0}, self.now)
-        self.assertTrue((await self.ask("a")).done())
+        self.assertTrue((await self.submit("a")).done())
 
-    async def test_a_flood_leaves_part_of_a_busy_engine_to_others(self) -> None:
-        # The others' requests may wait at other gateways, whose queues this one does not see.
+    async def test_a_team_above_its_share_leaves_part_of_a_busy_engine_to_others(self) -> None:
+        # Requests of other teams may wait at other gateways, whose queues are not visible here.
         self.fleet.usage.note_peer("g2", {"flood": 500_000.0, "small": 1_000.0}, self.now)
         self.fleet.demand.note_peer("g2", {"flood": 900_000.0, "small": 90_000.0}, self.now)
         self.fleet.loads.note_peer("g2", {"e1": load_board.EndpointLoad(200, 1, 200)}, self.now)
-        flood = await self.ask("flood")
-        self.assertFalse(flood.done())
-        small = await self.ask("small")
+        flooding = await self.submit("flood")
+        self.assertFalse(flooding.done())
+        small = await self.submit("small")
         self.now += placer.QUEUE_SCAN_SECONDS
         self.placer.process_queue("llm")
         await asyncio.sleep(0)
-        self.assertEqual([False, True], [flood.done(), small.done()])
+        self.assertEqual([False, True], [flooding.done(), small.done()])
 
-    async def test_a_team_that_is_short_takes_engines_that_a_flood_may_not_fill(self) -> None:
-        # The short team's shared part lies on an engine that is full; the others are half full.
+    async def test_an_underserved_team_gets_engines_that_a_team_above_its_share_may_not_fill(
+        self,
+    ) -> None:
+        # The shared prefix of the underserved team is cached on a full engine; the others are half
+        # full.
         engines = [builders.make_endpoint(f"e{number}") for number in range(4)]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
         self.fleet.usage.note_peer("g2", {"flood": 900_000.0, "short": 100_000.0}, self.now)
@@ -121,18 +131,20 @@
         await asyncio.sleep(0)
         self.assertTrue(task.done())
 
-    async def test_a_team_is_served_in_the_order_of_arrival(self) -> None:
-        await self.ask("other")
-        first = await self.ask("a")
+    async def test_requests_of_a_team_are_served_in_order_of_arrival(self) -> None:
+        await self.submit("other")
+        first = await self.submit("a")
         self.now += 0.01
-        second = await self.ask("a")
+        second = await self.submit("a")
         await self.free_engine()
         self.assertEqual([True, False], [first.done(), second.done()])
 
 
 class QueueOrderTest(WaitingCase):
-    async def test_small_requests_pass_large_ones_that_wait_for_a_busy_engine(self) -> None:
-        # All large ones share a part that e1 has read; e2 is idle.
+    """Guards against requests that block others which could be placed or be in time."""
+
+    async def test_small_requests_overtake_large_ones_that_wait_for_a_busy_engine(self) -> None:
+        # All large requests share a prefix that e1 has cached; e2 is nearly idle.
         engines = [builders.make_endpoint(name) for name in ("e1", "e2")]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
         shared = prompt_cache.chain_keys(builders.make_terms("before", "doc", 39_000).parts)
@@ -159,37 +171,41 @@
         await asyncio.sleep(0)
         self.assertEqual(1, self.served([small]))
 
-    async def test_above_capacity_requests_that_can_be_in_time_go_before_late_ones(self) -> None:
-        # Served by age alone, every request would be late while the load stays above capacity.
-        await self.ask("other")
-        late = await self.ask("a")
+    async def test_above_capacity_requests_that_can_be_in_time_precede_late_ones(self) -> None:
+        # By age alone, every request would be late while the load stays above capacity.
+        await self.submit("other")
+        late = await self.submit("a")
         self.now += 0.9 * builders.make_route().target_latency_seconds
-        timely = await self.ask("a")
+        timely = await self.submit("a")
         await self.free_engine()
         self.assertEqual([False, True], [late.done(), timely.done()])
 
 
 class RefusalTest(WaitingCase):
-    async def test_everyone_at_twice_capacity_is_refused_early_not_at_the_deadline(self) -> None:
-        tasks = [await self.ask("a", patience=0.6) for _ in range(20)]
+    """Guards against refusals that are late or needless, and reservations that are leaked."""
+
+    async def test_requests_at_twice_capacity_are_refused_early_and_not_at_their_deadline(
+        self,
+    ) -> None:
+        tasks = [await self.submit("a", max_wait_seconds=0.6) for _ in range(20)]
         self.now += placer.QUEUE_SCAN_SECONDS
         self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertEqual(1, self.served(tasks))
         self.assertGreater(self.refused(tasks), 15)
 
-    async def test_a_gateway_with_most_of_the_clients_uses_most_of_the_engines(self) -> None:
-        # The balancer's hash gave one gateway of 25 a large part of the clients.
+    async def test_a_gateway_with_most_of_the_clients_may_use_most_of_the_engines(self) -> None:
+        # The balancer's hash has assigned a large part of the clients to one gateway of 25.
         self.fleet.live_gateways = [f"g{number}" for number in range(25)]
-        await self.ask("a")
-        waiting = [await self.ask("a", patience=0.8) for _ in range(2)]
+        await self.submit("a")
+        waiting = [await self.submit("a", max_wait_seconds=0.8) for _ in range(2)]
         self.now += placer.QUEUE_SCAN_SECONDS
         self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertEqual(0, self.refused(waiting))
 
-    async def test_returns_are_spread(self) -> None:
-        tasks = [await self.ask("a", patience=0.0) for _ in range(20)]
+    async def test_retry_delays_are_randomized(self) -> None:
+        tasks = [await self.submit("a", max_wait_seconds=0.0) for _ in range(20)]
         times = {
             task.result().retry_after_seconds
             for task in tasks
@@ -198,25 +214,25 @@
         self.assertGreater(len(times), 10)
         self.assertLessEqual(max(times), placer.MAX_RETRY_AFTER_SECONDS)
 
-    async def test_a_request_is_refused_when_its_patience_ends(self) -> None:
-        await self.ask("a")
-        waiting = await self.ask("a", patience=0.5)
+    async def test_a_request_is_refused_at_its_longest_wait(self) -> None:
+        await self.submit("a")
+        waiting = await self.submit("a", max_wait_seconds=0.5)
         self.assertFalse(waiting.done())
         self.now += 0.6
         self.placer.process_queue("llm")
         await asyncio.sleep(0)
         self.assertIsInstance(waiting.result(), placer.PlacementRefusal)
 
-    async def test_a_caller_that_leaves_while_waiting_is_forgotten(self) -> None:
-        await self.ask("a")
-        waiting = await self.ask("a")
+    async def test_a_cancelled_waiting_request_is_removed_from_the_queue(self) -> None:
+        await self.submit("a")
+        waiting = await self.submit("a")
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         self.assertEqual([], self.placer.queues["llm"])
 
-    async def test_a_caller_that_leaves_as_it_gets_an_endpoint_leaves_no_load_behind(self) -> None:
-        await self.ask("a")
-        waiting = await self.ask("a")
+    async def test_a_request_cancelled_as_it_is_placed_releases_its_load(self) -> None:
+        await self.submit("a")
+        waiting = await self.submit("a")
         self.fleet.loads.own.clear()
         self.placer.process_queue("llm")
         waiting.cancel()
@@ -226,12 +242,14 @@
 
 
 class ColdEnginesTest(WaitingCase):
-    async def test_cold_engines_that_come_back_together_are_not_flooded(self) -> None:
+    """Guards against cold engines that receive more requests than their cold-start rate."""
+
+    async def test_cold_engines_that_start_together_are_not_overloaded(self) -> None:
         cold = [
             builders.make_endpoint(f"c{number}", cold_until=self.now + 3.0) for number in range(3)
         ]
         self.fleet.apply_endpoints([(item.id, item) for item in cold], True)
-        tasks = [await self.ask("a") for _ in range(60)]
+        tasks = [await self.submit("a") for _ in range(60)]
         for _ in range(20):
             self.now += 0.05
             self.fleet.loads.own.clear()
@@ -242,30 +260,31 @@
         self.assertLessEqual(self.served(tasks), most)
         self.assertGreater(self.served(tasks), 10)
 
-    async def test_a_herd_of_restarted_gateways_does_not_flood_a_cold_engine(self) -> None:
-        # Each of 26 gateways has just started and has heard nobody: alone, as far as it knows.
+    async def test_gateways_restarted_together_do_not_overload_a_cold_engine(self) -> None:
+        # Each of 26 gateways has just started and has received no report yet, so that it seems to
+        # be the only one.
         cold = builders.make_endpoint("c1", cold_until=self.now + 3.0)
         served = 0
         for _ in range(26):
             fleet = builders.make_fleet(cold, now=self.now)
             fleet.started_at = self.now
-            herd_placer = placer.Placer(fleet, lambda *_: None)
+            restarted_placer = placer.Placer(fleet, lambda *_: None)
             terms = builders.make_terms(arrived_at=self.now)
             request = placer.WaitingRequest(
                 terms, builders.make_route(), "llm", "a", self.now + 5.0
             )
-            task = asyncio.get_running_loop().create_task(herd_placer.place(request))
+            task = asyncio.get_running_loop().create_task(restarted_placer.place(request))
             self.tasks.append(task)
             await asyncio.sleep(0)
             served += self.served([task])
         bounds = builders.make_bounds()
         self.assertLessEqual(served, 8.0 * bounds.cold_overage + bounds.cold_slack)
 
-    async def test_a_gateway_cut_off_from_its_peers_takes_no_more_than_its_part(self) -> None:
+    async def test_a_partitioned_gateway_uses_no_more_than_its_share_of_a_cold_engine(self) -> None:
         cold = builders.make_endpoint("c1", cold_until=self.now + 3.0)
         self.fleet.apply_endpoints([("c1", cold)], True)
         self.fleet.known_gateway_count = 26
-        tasks = [await self.ask("a") for _ in range(20)]
+        tasks = [await self.submit("a") for _ in range(20)]
         for _ in range(20):
             self.now += 0.05
             self.fleet.loads.own.clear()
@@ -273,11 +292,11 @@
             await asyncio.sleep(0)
         self.assertLessEqual(self.served(tasks), 8.0 / cold_pace.COLD_SENDERS + 1)
 
-    async def test_a_third_of_the_engines_gone_leaves_the_others_in_use(self) -> None:
+    async def test_with_a_third_of_the_engines_unreachable_the_others_stay_in_use(self) -> None:
         engines = [builders.make_endpoint(f"e{number}") for number in range(3)]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
         self.fleet.health.note_unreachable("e2", self.now)
-        tasks = [await self.ask("a") for _ in range(6)]
+        tasks = [await self.submit("a") for _ in range(6)]
         used = {
             task.result().endpoint.id
             for task in tasks
@@ -287,9 +306,9 @@
 
 
 class KeysTest(unittest.TestCase):
-    """Guards against requests with keys that were taken away."""
+    """Guards against requests that are accepted with revoked API keys."""
 
-    def test_a_proof_lasts_less_than_the_bound(self) -> None:
+    def test_a_proof_expires_before_the_revocation_bound(self) -> None:
         fleet = builders.make_fleet(now=100.0)
         self.assertTrue(fleet.proof_is_fresh(104.0))
         self.assertFalse(fleet.proof_is_fresh(100.0 + builders.make_bounds().revoke_seconds))
