--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -120,11 +120,11 @@
         return budget
 
     def apply_endpoints(
-        self, found: list[tuple[str, gateway.Endpoint | None]], complete: bool
+        self, items: list[tuple[str, gateway.Endpoint | None]], complete: bool
     ) -> None:
         """Apply a listing (``complete``) or changes of the endpoints; None stands for a removal."""
         self.endpoints_known = True
-        for change in self.table.apply(found, complete, clocks.boot_time()):
+        for change in self.table.apply(items, complete, clocks.boot_time()):
             self.record_change(change)
 
     def drop_expired_endpoints(self) -> None:
@@ -147,10 +147,10 @@
             self.health.forget(change.endpoint_id)
             self.pace.forget(change.endpoint_id)
 
-    def apply_evacuations(self, found: list[tuple[str, bool]], complete: bool) -> None:
+    def apply_evacuations(self, items: list[tuple[str, bool]], complete: bool) -> None:
         """Apply a listing (``complete``) or changes of the zones that operators evacuated."""
         zones = set() if complete else set(self.table.out_zones)
-        for zone, out in found:
+        for zone, out in items:
             if out:
                 zones.add(zone)
             else:
--- a/src/masticward/gateway/peering.py
+++ b/src/masticward/gateway/peering.py
@@ -129,17 +129,17 @@
             self.update_liveness()
             self.compare_listings()
             self.send_reports()
-            live_peers = max(1, len(self.fleet.live_gateways) - 1)
+            live_peer_count = max(1, len(self.fleet.live_gateways) - 1)
             await asyncio.sleep(
-                max(MIN_REPORT_INTERVAL_SECONDS, live_peers / REPORT_DATAGRAMS_PER_SECOND)
+                max(MIN_REPORT_INTERVAL_SECONDS, live_peer_count / REPORT_DATAGRAMS_PER_SECOND)
             )
 
     async def run_changes(self) -> None:
         """Send changes of this process's load shortly after they happen, until cancelled."""
         while True:
-            live_peers = max(1, len(self.fleet.live_gateways) - 1)
+            live_peer_count = max(1, len(self.fleet.live_gateways) - 1)
             await asyncio.sleep(
-                max(MIN_CHANGES_INTERVAL_SECONDS, live_peers / CHANGES_DATAGRAMS_PER_SECOND)
+                max(MIN_CHANGES_INTERVAL_SECONDS, live_peer_count / CHANGES_DATAGRAMS_PER_SECOND)
             )
             # Finished requests alone wait for the next report or the next placed request.
             if self.unsent_prompts or self.has_unsent_request:
@@ -226,15 +226,17 @@
         ):
             return
         own_digest = self.fleet.table.digest()
-        live = [peer for peer in self.peers.values() if peer.live and peer.last_report is not None]
+        live_peers = [
+            peer for peer in self.peers.values() if peer.live and peer.last_report is not None
+        ]
         differing = [
             peer
-            for peer in live
+            for peer in live_peers
             if peer.last_report is not None
             and peer.last_report.listing_digest not in (0, own_digest)
             and now - peer.listing_digest_since > LISTING_MISMATCH_SECONDS
         ]
-        if differing and 2 * len(differing) >= len(live):
+        if differing and 2 * len(differing) >= len(live_peers):
             self.relist_requested_at = now
             self.on_listing_mismatch()
 
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -138,17 +138,17 @@
             states = [
                 item for item in states if item.endpoint.id not in request.excluded_endpoint_ids
             ]
-        target = max(0.01, request.route.target_latency_seconds)
-        # A team below its share while others are above theirs does not wait long for the engine
-        # that caches its prefix, however busy the others are.
-        underserved = bool(excess_by_team) and request.team not in excess_by_team
-        busy_fraction = 0.0 if underserved else self.busy_fraction
+        target_seconds = max(0.01, request.route.target_latency_seconds)
+        # A team within its share while others are above theirs soon gets any engine, instead of
+        # waiting for the one that caches its prefix while all of them are busy.
+        others_in_excess = bool(excess_by_team) and request.team not in excess_by_team
+        busy_fraction = 0.0 if others_in_excess else self.busy_fraction
         return placement.choose_engine(
             states,
             self.engine,
             request.prefix_keys,
             request.terms,
-            placement.reread_weight(self.now - request.arrived_at, target, busy_fraction),
+            placement.reread_weight(self.now - request.arrived_at, target_seconds, busy_fraction),
             placement.window_seconds(excess_by_team.get(request.team)),
         )
 
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -120,7 +120,7 @@
         )
 
     async def run(self) -> None:
-        """Serve the request; raises RefusalError if nothing was sent to the client."""
+        """Serve the request; raises RefusalError unless a response was started."""
         self.fleet.budget(self.service).note_request(clocks.boot_time())
         try:
             async with asyncio.timeout(max(0.0, self.response_deadline - clocks.boot_time())):
--- a/src/masticward/gateway/snapshots.py
+++ b/src/masticward/gateway/snapshots.py
@@ -14,7 +14,7 @@
 
 POLL_SECONDS = 0.2
 # A working store answers within this time. After it, missing data is fetched from a peer.
-STORE_TIMEOUT_SECONDS = 0.7
+PEER_FALLBACK_SECONDS = 0.7
 CONNECT_TIMEOUT_SECONDS = 0.5
 FETCH_TIMEOUT_SECONDS = 1.0
 LOGGER = logs.get_logger(__name__)
@@ -66,11 +66,11 @@
     def __init__(
         self,
         fleet: fleet_module.FleetState,
-        peer_exchange: peering.Peering,
+        gateway_peering: peering.Peering,
         followers_by_kind: dict[sources.ObjectKind, followers.Follower],
     ) -> None:
         self.fleet = fleet
-        self.peer_exchange = peer_exchange
+        self.peering = gateway_peering
         self.followers_by_kind = followers_by_kind
         # Whether most peers have another listing than this process.
         self.listing_differs = False
@@ -85,7 +85,7 @@
                 self.behind_since = None
             elif self.behind_since is None:
                 self.behind_since = now
-            elif now - self.behind_since > STORE_TIMEOUT_SECONDS:
+            elif now - self.behind_since > PEER_FALLBACK_SECONDS:
                 await self.catch_up()
 
     def is_behind(self) -> bool:
@@ -125,7 +125,7 @@
                 -peer.last_report.configuration_proof_age,
                 peer,
             )
-            for peer in self.peer_exchange.peers.values()
+            for peer in self.peering.peers.values()
             if peer.live
             and peer.last_report is not None
             and peer.last_report.configuration_version > 0
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -28,7 +28,7 @@
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """A stored object; ``value`` is None if it was removed or cannot be decoded."""
+    """A stored object; ``value`` is None if it was removed or cannot be used."""
 
     name: str
     value: typing.Any
