--- a/src/masticward/gateway/calls.py
+++ b/src/masticward/gateway/calls.py
@@ -165,7 +165,7 @@
         endpoint: gateway.Endpoint,
         exchange: http1.Exchange,
         response: http1.Answer,
-        marks: gateway.AnswerMarks,
+        marks: gateway.ResponseMetadata,
     ) -> None:
         self.pool = pool
         self.endpoint = endpoint
@@ -199,7 +199,7 @@
         try:
             return Connection(await http1.connect(address, CONNECT_TIMEOUT_SECONDS), None)
         except errors.EndpointNotStartedError:
-            pause_seconds = self.fleet.health.note_unreachable(endpoint.id, clocks.boot_time())
+            pause_seconds = self.fleet.health.record_unreachable(endpoint.id, clocks.boot_time())
             LOGGER.log(
                 events.Event.GATEWAY_ENDPOINT_UNREACHABLE,
                 endpoint=endpoint.id,
@@ -210,7 +210,7 @@
     async def call(
         self,
         endpoint: gateway.Endpoint,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         team: str | None,
         body: bytes,
         remaining_ms: int,
@@ -248,7 +248,7 @@
 
     async def read_matching_head(
         self, exchange: http1.Exchange, request_id: str
-    ) -> tuple[http1.Answer, gateway.AnswerMarks]:
+    ) -> tuple[http1.Answer, gateway.ResponseMetadata]:
         """Return the head of the response to this request, skipping responses to others.
 
         Raises EndpointBrokenError after ``MAX_STRAY_RESPONSES`` of those.
--- a/src/masticward/gateway/followers.py
+++ b/src/masticward/gateway/followers.py
@@ -107,7 +107,7 @@
             )
             self.store_unavailable = False
             if self.kind is sources.ObjectKind.ENDPOINTS and outage_seconds > MIN_OUTAGE_SECONDS:
-                self.fleet.table.note_store_return(now)
+                self.fleet.table.start_relist_grace(now)
         self.last_response_at = now
 
     def apply_listing(self, listing: sources.Listing, requested_at: float) -> None:
--- a/src/masticward/gateway/peering.py
+++ b/src/masticward/gateway/peering.py
@@ -11,7 +11,7 @@
 from masticward.gateway import sources
 from masticward.models import gateway
 from masticward.protocol import gateway_peers
-from masticward.state import load_board
+from masticward.state import load_table
 from masticward.utils import clocks, identifiers
 
 # Reports are sent at this interval while there are few gateways. With more of them, the interval
@@ -148,7 +148,7 @@
     def send_changes(self) -> None:
         """Send the changes since the last message to each live gateway."""
         self.has_unsent_request = False
-        loads = self.fleet.loads.take_changed()
+        loads = self.fleet.loads.pop_changed()
         changes = gateway_peers.PeerChanges(
             instance_id=self.fleet.settings.instance_id,
             incarnation=self.incarnation,
@@ -198,7 +198,7 @@
     def update_liveness(self) -> None:
         """Update the list of live gateways and drop the loads of silent ones."""
         now = clocks.boot_time()
-        self.fleet.loads.drop_silent(now)
+        self.fleet.loads.remove_stale_peers(now)
         live_ids = [self.fleet.settings.instance_id]
         for peer in self.peers.values():
             recently_seen = now - peer.received_at <= LIVENESS_TIMEOUT_SECONDS
@@ -296,8 +296,8 @@
                 endpoint_id: (load.unread_tokens, load.requests, load.memory_tokens)
                 for endpoint_id, load in fleet.loads.own.items()
             },
-            usage=fleet.usage.told(),
-            asked=fleet.demand.told(),
+            usage=fleet.usage.reportable_totals(),
+            asked=fleet.demand.reportable_totals(),
             prompts=prompts,
             members=members,
         )
@@ -326,8 +326,8 @@
             return  # overtaken by a newer datagram
         peer.newest_sent_at = message.sent_at
         peer.received_at = now
-        loads = {key: load_board.EndpointLoad(*value) for key, value in changes.loads.items()}
-        self.fleet.loads.note_peer_changes(peer.instance_id, loads, now)
+        loads = {key: load_table.EndpointLoad(*value) for key, value in changes.loads.items()}
+        self.fleet.loads.update_peer_loads(peer.instance_id, loads, now)
         self.apply_prompts(changes.prompts)
 
     def apply_report(
@@ -353,13 +353,13 @@
         peer.last_report = report
         fleet = self.fleet
         fleet.newest_peer_version = max(fleet.newest_peer_version, report.configuration_version)
-        fleet.loads.note_peer(
+        fleet.loads.set_peer_loads(
             peer.instance_id,
-            {key: load_board.EndpointLoad(*value) for key, value in report.loads.items()},
+            {key: load_table.EndpointLoad(*value) for key, value in report.loads.items()},
             now,
         )
-        fleet.usage.note_peer(peer.instance_id, report.usage, now)
-        fleet.demand.note_peer(peer.instance_id, report.asked, now)
+        fleet.usage.set_peer_usage(peer.instance_id, report.usage, now)
+        fleet.demand.set_peer_usage(peer.instance_id, report.asked, now)
         self.apply_prompts(report.prompts)
         self.apply_proof(message, report, now)
         for instance_id, ip in report.members:
@@ -375,7 +375,7 @@
                 continue
             service = configuration.services.get(endpoint.service)
             if service is not None and service.engine is not None:
-                fleet.caches.engine(endpoint_id, service.engine.cache_tokens).note_read(
+                fleet.caches.get(endpoint_id, service.engine.cache_tokens).record_prompt(
                     [(key, tokens) for key, tokens in keys]
                 )
 
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -8,7 +8,7 @@
 
 from masticward.gateway import fleet as fleet_module
 from masticward.models import gateway
-from masticward.state import cold_pace, placement, prompt_cache, team_usage
+from masticward.state import cold_start, placement, prompt_cache, team_usage
 from masticward.utils import clocks
 
 # The queues are scanned periodically because changes of the peers' loads trigger no event here.
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         route: gateway.Route,
         service: str,
         team: str | None,
@@ -80,7 +80,7 @@
         # Uncached prompt tokens by the latest choice; the whole prompt before the first choice.
         self.unread_tokens = terms.prompt_tokens
         self.in_time_until = terms.arrived_at + IN_TIME_FRACTION * route.target_latency_seconds
-        self.prefix_keys = prompt_cache.chain_keys(terms.parts)
+        self.prefix_keys = prompt_cache.prefix_keys(terms.parts)
         self.excluded_endpoint_ids: set[str] = set()
         self.future: asyncio.Future[placement.Choice | PlacementRefusal] | None = None
 
@@ -116,7 +116,7 @@
             self.engine_states = placement.engine_states(
                 self.candidates, self.engine, self.fleet.view, now
             )
-            self.busy_fraction = placement.busy_share(self.engine_states)
+            self.busy_fraction = placement.prefill_utilization(self.engine_states)
 
     def choose(
         self, request: WaitingRequest, excess_by_team: dict[str, float]
@@ -132,7 +132,7 @@
                     item for item in candidates if item.id not in request.excluded_endpoint_ids
                 ]
             zone = self.fleet.settings.availability_zone
-            return placement.choose_plain(candidates, zone, self.fleet.view, self.now)
+            return placement.choose_plain_endpoint(candidates, zone, self.fleet.view, self.now)
         states = self.engine_states
         if request.excluded_endpoint_ids:
             states = [
@@ -148,8 +148,8 @@
             self.engine,
             request.prefix_keys,
             request.terms,
-            placement.reread_weight(self.now - request.arrived_at, target_seconds, busy_fraction),
-            placement.window_seconds(excess_by_team.get(request.team)),
+            placement.recompute_weight(self.now - request.arrived_at, target_seconds, busy_fraction),
+            placement.prefill_window_seconds(excess_by_team.get(request.team)),
         )
 
     def may_have_room(self, excess: float | None) -> bool:
@@ -160,10 +160,10 @@
         """
         if self.engine is None:
             return True
-        window_seconds = placement.window_seconds(excess)
+        window_seconds = placement.prefill_window_seconds(excess)
         if window_seconds <= self.full_window_seconds:
             return False
-        if placement.any_room(self.engine_states, self.engine, window_seconds):
+        if placement.any_has_capacity(self.engine_states, self.engine, window_seconds):
             return True
         self.full_window_seconds = window_seconds
         return False
@@ -215,7 +215,7 @@
         """Wait until the request is assigned to an endpoint or refused."""
         queue = self.queues.setdefault(request.service, [])
         request.future = asyncio.get_running_loop().create_future()
-        self.fleet.demand.note(
+        self.fleet.demand.record(
             request.team, team_usage.charged_tokens(request.terms), clocks.boot_time()
         )
         queue.append(request)
@@ -242,7 +242,7 @@
         now = self.scanned_at = clocks.boot_time()
         usage = self.fleet.usage.totals(now)
         demand = self.fleet.demand.totals(now)
-        excess_by_team = team_usage.excess_of_share(demand, usage)
+        excess_by_team = team_usage.excess_over_share(demand, usage)
         read_rate = self.read_tokens_per_second(service, demand, now)
         queue.sort(
             key=lambda item: (
@@ -263,7 +263,7 @@
                 excess_by_team.get(request.team)
             ):
                 choice = pool.choose(request, excess_by_team)
-            if choice is not None and choice.allowed:
+            if choice is not None and choice.has_capacity:
                 self.reserve(request, choice, now)
                 queue.remove(request)
                 request.future.set_result(choice)
@@ -295,7 +295,7 @@
         total = sum(demand.values())
         fraction = sum(self.fleet.demand.own.values()) / total if total > 0 else 1.0
         fraction = min(1.0, max(fraction, 1.0 / len(self.fleet.live_gateways)))
-        return placement.READ_TOKENS_PER_SECOND * engines * fraction
+        return placement.PREFILL_TOKENS_PER_SECOND * engines * fraction
 
     def build_refusal(
         self,
@@ -330,7 +330,7 @@
         service = configuration.services.get(endpoint.service) if configuration else None
         return (
             service is not None
-            and not self.fleet.health.paused(endpoint.id, now)
+            and not self.fleet.health.in_backoff(endpoint.id, now)
             and self.is_warm_or_within_cold_rate(endpoint, service, now)
         )
 
@@ -343,7 +343,7 @@
         rate = service.cold_requests_per_second
         if rate <= 0:
             return True
-        if now < self.fleet.started_at + cold_pace.QUIET_SECONDS:
+        if now < self.fleet.started_at + cold_start.PEER_DISCOVERY_SECONDS:
             return False
         gateways = self.fleet.live_gateways
         own_id = self.fleet.settings.instance_id
@@ -353,25 +353,25 @@
         """Release the reservation of a request that will not be sent."""
         if isinstance(placed, placement.Choice):
             memory_tokens = request.terms.prompt_tokens + request.terms.output_tokens
-            self.fleet.loads.end(placed.endpoint.id, memory_tokens, placed.unread_tokens)
+            self.fleet.loads.finish_request(placed.endpoint.id, memory_tokens, placed.unread_tokens)
 
     def reserve(self, request: WaitingRequest, choice: placement.Choice, now: float) -> None:
         """Add a request to the load of its endpoint before it is sent."""
         fleet = self.fleet
         endpoint = choice.endpoint
         terms = request.terms
-        fleet.loads.begin(
+        fleet.loads.start_request(
             endpoint.id, choice.unread_tokens, terms.prompt_tokens + terms.output_tokens
         )
         service = fleet.configuration.services[request.service] if fleet.configuration else None
         if service is None:
             return
         if service.engine is not None:
-            cache = fleet.caches.engine(endpoint.id, service.engine.cache_tokens)
-            cache.note_read(request.prefix_keys)
+            cache = fleet.caches.get(endpoint.id, service.engine.cache_tokens)
+            cache.record_prompt(request.prefix_keys)
             self.on_prompt(endpoint.id, request.prefix_keys)
-            fleet.usage.note(request.team, team_usage.charged_tokens(terms), now)
+            fleet.usage.record(request.team, team_usage.charged_tokens(terms), now)
         if fleet.table.cold_until(endpoint) > now and service.cold_requests_per_second > 0:
-            fleet.pace.note_sent(
+            fleet.pace.record_send(
                 endpoint.id, service.cold_requests_per_second, fleet.known_gateway_count, now
             )
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -90,7 +90,7 @@
     def __init__(
         self,
         dependencies: RequestDependencies,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
         route: gateway.Route,
         team: str | None,
         body: bytes,
@@ -121,7 +121,7 @@
 
     async def run(self) -> None:
         """Serve the request; raises RefusalError unless a response was started."""
-        self.fleet.budget(self.service).note_request(clocks.boot_time())
+        self.fleet.budget(self.service).record_request(clocks.boot_time())
         try:
             async with asyncio.timeout(max(0.0, self.response_deadline - clocks.boot_time())):
                 while not await self.attempt():
@@ -163,12 +163,12 @@
         except errors.EndpointNotStartedError as error:
             self.waiting_request.excluded_endpoint_ids.add(endpoint.id)
             if error.overloaded:
-                self.fleet.health.note_shed(endpoint.id, clocks.boot_time())
+                self.fleet.health.record_shed(endpoint.id, clocks.boot_time())
             self.record_failed_attempt(endpoint, "not started", str(error))
             return False
         except errors.EndpointBrokenError as error:
             self.waiting_request.excluded_endpoint_ids.add(endpoint.id)
-            self.fleet.health.note_failure(endpoint.id, clocks.boot_time())
+            self.fleet.health.record_failure(endpoint.id, clocks.boot_time())
             self.record_failed_attempt(endpoint, "broken", str(error))
             if self.may_retry():
                 return False
@@ -192,7 +192,7 @@
 
     def may_retry(self) -> bool:
         """Return whether the route allows another run."""
-        return self.route.repeatable and self.progress.runs < self.route.max_attempts
+        return self.route.retryable and self.progress.runs < self.route.max_attempts
 
     def record_failed_attempt(self, endpoint: gateway.Endpoint, outcome: str, detail: str) -> None:
         """Count and log a failed attempt."""
@@ -310,7 +310,7 @@
             return True
         body = await self.wait_with_timeout(call.exchange.read_body(), READ_TIMEOUT_SECONDS)
         if response.status >= 500:
-            self.fleet.health.note_failure(call.endpoint.id, clocks.boot_time())
+            self.fleet.health.record_failure(call.endpoint.id, clocks.boot_time())
             if self.may_retry() and not self.progress.response_started:
                 self.waiting_request.excluded_endpoint_ids.add(call.endpoint.id)
                 self.record_failed_attempt(call.endpoint, "failed", f"status {response.status}")
@@ -328,7 +328,7 @@
     def record_success(self, call: calls.EndpointCall, sent_at: float) -> None:
         """Count and log a complete response."""
         now = clocks.boot_time()
-        self.fleet.health.note_success(call.endpoint.id, now)
+        self.fleet.health.record_success(call.endpoint.id, now)
         self.dependencies.meters.count_outcome("answered", call.response.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_ANSWERED,
@@ -349,7 +349,7 @@
                 reservation.record_first_event()
                 now = clocks.boot_time()
                 expected_seconds = reservation.choice.expected_seconds
-                self.fleet.health.note_speed(call.endpoint.id, now - sent_at, expected_seconds, now)
+                self.fleet.health.record_latency(call.endpoint.id, now - sent_at, expected_seconds, now)
                 self.dependencies.meters.first_event.observe(now - self.terms.arrived_at)
             if data is None:
                 break
@@ -388,7 +388,7 @@
         fleet: fleet_module.FleetState,
         endpoint_id: str,
         choice: placement.Choice,
-        terms: gateway.RequestTerms,
+        terms: gateway.RequestMetadata,
     ) -> None:
         self.fleet = fleet
         self.endpoint_id = endpoint_id
@@ -400,12 +400,12 @@
         """Mark the prompt as read, which the first event shows."""
         if not self.prompt_read:
             self.prompt_read = True
-            self.fleet.loads.note_read(self.endpoint_id, self.choice.unread_tokens)
+            self.fleet.loads.record_prefill(self.endpoint_id, self.choice.unread_tokens)
 
     def release(self) -> None:
         """Remove the attempt's load from its endpoint."""
         remaining_unread_tokens = 0 if self.prompt_read else self.choice.unread_tokens
-        self.fleet.loads.end(self.endpoint_id, self.memory_tokens, remaining_unread_tokens)
+        self.fleet.loads.finish_request(self.endpoint_id, self.memory_tokens, remaining_unread_tokens)
 
 
 def choose_service(route: gateway.Route, request_id: str) -> str:
