--- a/src/masticward/gateway/calls.py
+++ b/src/masticward/gateway/calls.py
@@ -157,7 +157,7 @@
 class EndpointCall:
     """A request sent to an endpoint, with the head of its response received."""
 
-    __slots__ = ("endpoint", "exchange", "marks", "pool", "response")
+    __slots__ = ("endpoint", "exchange", "pool", "response", "response_metadata")
 
     def __init__(
         self,
@@ -165,18 +165,20 @@
         endpoint: gateway.Endpoint,
         exchange: http1.Exchange,
         response: http1.Answer,
-        marks: gateway.ResponseMetadata,
+        response_metadata: gateway.ResponseMetadata,
     ) -> None:
         self.pool = pool
         self.endpoint = endpoint
         self.exchange = exchange
         self.response = response
-        self.marks = marks
+        self.response_metadata = response_metadata
 
     def finish(self) -> None:
         """Release the connection if its response was read completely, otherwise reset it."""
-        if self.exchange.reusable and not self.marks.closes:
-            self.pool.release(self.endpoint, self.exchange.channel, self.marks.keep_alive_seconds)
+        if self.exchange.reusable and not self.response_metadata.closes:
+            self.pool.release(
+                self.endpoint, self.exchange.channel, self.response_metadata.keep_alive_seconds
+            )
         else:
             self.exchange.channel.abort()
 
@@ -210,7 +212,7 @@
     async def call(
         self,
         endpoint: gateway.Endpoint,
-        terms: gateway.RequestMetadata,
+        request_metadata: gateway.RequestMetadata,
         team: str | None,
         body: bytes,
         remaining_ms: int,
@@ -225,12 +227,14 @@
         channel = connection.channel
         exchange = http1.Exchange(channel)
         headers = self.codec.encode_request(
-            terms, endpoint, team, remaining_ms, len(body), last_event_id
+            request_metadata, endpoint, team, remaining_ms, len(body), last_event_id
         )
         try:
-            await exchange.send(terms.method, terms.target, headers, body)
-            response, marks = await self.read_matching_head(exchange, terms.request_id)
-            if marks.not_run:
+            await exchange.send(request_metadata.method, request_metadata.target, headers, body)
+            response, response_metadata = await self.read_matching_head(
+                exchange, request_metadata.request_id
+            )
+            if response_metadata.not_run:
                 await exchange.read_body()
         except (errors.EndpointError, asyncio.CancelledError) as error:
             channel.abort()
@@ -238,8 +242,8 @@
             if unanswered and connection.idle_seconds is not None:
                 self.pool.record_drop(endpoint, connection.idle_seconds)
             raise
-        call = EndpointCall(self.pool, endpoint, exchange, response, marks)
-        if marks.not_run:
+        call = EndpointCall(self.pool, endpoint, exchange, response, response_metadata)
+        if response_metadata.not_run:
             call.finish()
             raise errors.EndpointNotStartedError(
                 f"status {response.status}", response.status != 421
@@ -255,11 +259,13 @@
         """
         for _ in range(MAX_STRAY_RESPONSES + 1):
             response = await exchange.read_head()
-            marks = self.codec.decode_response_head(response.status, response.headers)
-            if marks.request_id in (None, request_id):
-                return response, marks
+            response_metadata = self.codec.decode_response_head(response.status, response.headers)
+            if response_metadata.request_id in (None, request_id):
+                return response, response_metadata
             LOGGER.log(
-                events.Event.STRAY_ANSWER_DROPPED, request_id=request_id, other=marks.request_id
+                events.Event.STRAY_ANSWER_DROPPED,
+                request_id=request_id,
+                other=response_metadata.request_id,
             )
             await exchange.read_body()
             exchange.expect_next_answer()
--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -43,7 +43,7 @@
         # Tokens of requests that were placed (usage) and of all that arrived (demand).
         self.usage = team_usage.TeamUsage()
         self.demand = team_usage.TeamUsage()
-        self.pace = cold_start.ColdStartLimiter()
+        self.cold_start_limiter = cold_start.ColdStartLimiter()
         self.budgets: dict[str, retry_window.WindowedRetryBudget] = {}
         self.view = placement.PlacementView(self.loads, self.caches, self.health)
         # Ids of gateways with a recent datagram that are not stopping, and of this one.
@@ -145,7 +145,7 @@
         if change.state in ("added", "gone"):
             self.caches.remove(change.endpoint_id)
             self.health.remove(change.endpoint_id)
-            self.pace.remove(change.endpoint_id)
+            self.cold_start_limiter.remove(change.endpoint_id)
 
     def apply_evacuations(self, items: list[tuple[str, bool]], complete: bool) -> None:
         """Apply a listing (``complete``) or changes of the zones that operators evacuated."""
--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -35,13 +35,13 @@
         """Handle one request."""
         request_id = None
         try:
-            terms = self.dependencies.codec.decode_request(
+            metadata = self.dependencies.codec.decode_request(
                 request.method, request.target, request.headers, request.arrived_at
             )
-            request_id = terms.request_id
-            route, team = self.authorize(terms)
+            request_id = metadata.request_id
+            route, team = self.authorize(metadata)
             await request_path.ProxiedRequest(
-                self.dependencies, terms, route, team, request.body, responder
+                self.dependencies, metadata, route, team, request.body, responder
             ).run()
         except errors.BadRequestError as error:
             await self.refuse(responder, request_id, request_path.RefusalError(400, str(error)))
@@ -70,7 +70,7 @@
         headers = self.dependencies.codec.refusal_headers(request_id, refusal.retry_after_seconds)
         await responder.send(refusal.status, headers, b"")
 
-    def authorize(self, terms: gateway.RequestMetadata) -> tuple[gateway.Route, str | None]:
+    def authorize(self, metadata: gateway.RequestMetadata) -> tuple[gateway.Route, str | None]:
         """Return the route and the team of a request; raises RefusalError."""
         fleet = self.fleet
         configuration = fleet.configuration
@@ -78,7 +78,7 @@
             raise request_path.RefusalError(
                 503, "no configuration yet", NO_CONFIGURATION_RETRY_AFTER_SECONDS
             )
-        route = fleet.find_route(terms.host, terms.path)
+        route = fleet.find_route(metadata.host, metadata.path)
         proof_is_fresh = fleet.proof_is_fresh(clocks.boot_time())
         if route is None:
             if not proof_is_fresh:
@@ -86,7 +86,7 @@
                     503, "configuration too old", request_path.STALE_PROOF_RETRY_AFTER_SECONDS
                 )
             raise request_path.RefusalError(404, "no route")
-        team = fleet.team_of(terms.api_key)
+        team = fleet.team_of(metadata.api_key)
         if configuration.team_of_key is not None and not route.public:
             request_path.require_fresh_proof(fleet)
             if team is None:
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -20,11 +20,11 @@
 # Largest fraction of processor time spent on scanning long queues.
 SCAN_CPU_FRACTION = 0.2
 # A request that has waited for this fraction of its latency target is refused: the rest is needed
-# to read its prompt, and a later response is of little use to the client.
+# for the prefill of its prompt, and a later response is of little use to the client.
 MAX_WAIT_FRACTION = 0.8
 # A request that has not been sent after this fraction of its latency target counts as late, because
-# the rest passes in the engine's backlog and while its own prompt is read. Late requests queue
-# behind those that can still meet their target.
+# the rest passes in the engine's backlog and during its own prefill. Late requests queue behind
+# those that can still meet their target.
 IN_TIME_FRACTION = 0.5
 # Random fraction added to retry delays so that refused clients do not retry at the same time.
 RETRY_AFTER_JITTER_FRACTION = 0.5
@@ -54,33 +54,33 @@
         "excluded_endpoint_ids",
         "future",
         "in_time_until",
+        "metadata",
         "prefix_keys",
         "refuse_at",
         "route",
         "service",
         "team",
-        "terms",
         "unread_tokens",
     )
 
     def __init__(
         self,
-        terms: gateway.RequestMetadata,
+        metadata: gateway.RequestMetadata,
         route: gateway.Route,
         service: str,
         team: str | None,
         refuse_at: float,
     ) -> None:
-        self.terms = terms
+        self.metadata = metadata
         self.route = route
         self.service = service
         self.team = team or ""
         self.refuse_at = refuse_at
-        self.arrived_at = terms.arrived_at
+        self.arrived_at = metadata.arrived_at
         # Uncached prompt tokens by the latest choice; the whole prompt before the first choice.
-        self.unread_tokens = terms.prompt_tokens
-        self.in_time_until = terms.arrived_at + IN_TIME_FRACTION * route.target_latency_seconds
-        self.prefix_keys = prompt_cache.prefix_keys(terms.parts)
+        self.unread_tokens = metadata.prompt_tokens
+        self.in_time_until = metadata.arrived_at + IN_TIME_FRACTION * route.target_latency_seconds
+        self.prefix_keys = prompt_cache.prefix_keys(metadata.parts)
         self.excluded_endpoint_ids: set[str] = set()
         self.future: asyncio.Future[placement.Choice | PlacementRefusal] | None = None
 
@@ -89,7 +89,6 @@
     """The endpoints of a service that may receive requests, during one scan of its queue."""
 
     __slots__ = (
-        "busy_fraction",
         "candidates",
         "engine",
         "engine_states",
@@ -97,6 +96,7 @@
         "full_window_seconds",
         "now",
         "placer",
+        "prefill_utilization",
     )
 
     def __init__(self, request_placer: "Placer", service_name: str, now: float) -> None:
@@ -108,15 +108,15 @@
         service = configuration.services.get(service_name) if configuration else None
         self.engine = service.engine if service else None
         self.engine_states: list[placement.EngineState] = []
-        self.busy_fraction = 0.0
-        # Widest backlog window for which no engine has room. It holds for the whole scan, because
+        self.prefill_utilization = 0.0
+        # Widest prefill window for which no engine has capacity; valid for the whole scan, because
         # engines only fill up during one.
         self.full_window_seconds = 0.0
         if self.engine is not None:
             self.engine_states = placement.engine_states(
                 self.candidates, self.engine, self.fleet.view, now
             )
-            self.busy_fraction = placement.prefill_utilization(self.engine_states)
+            self.prefill_utilization = placement.prefill_utilization(self.engine_states)
 
     def choose(
         self, request: WaitingRequest, excess_by_team: dict[str, float]
@@ -142,17 +142,19 @@
         # A team within its share while others are above theirs soon gets any engine, instead of
         # waiting for the one that caches its prefix while all of them are busy.
         others_in_excess = bool(excess_by_team) and request.team not in excess_by_team
-        busy_fraction = 0.0 if others_in_excess else self.busy_fraction
+        prefill_utilization = 0.0 if others_in_excess else self.prefill_utilization
         return placement.choose_engine(
             states,
             self.engine,
             request.prefix_keys,
-            request.terms,
-            placement.recompute_weight(self.now - request.arrived_at, target_seconds, busy_fraction),
+            request.metadata,
+            placement.recompute_weight(
+                self.now - request.arrived_at, target_seconds, prefill_utilization
+            ),
             placement.prefill_window_seconds(excess_by_team.get(request.team)),
         )
 
-    def may_have_room(self, excess: float | None) -> bool:
+    def may_have_capacity(self, excess: float | None) -> bool:
         """Return whether some endpoint could take a request of a team with this excess.
 
         This check is cheaper than a choice; an overloaded gateway makes it for hundreds of waiting
@@ -216,7 +218,7 @@
         queue = self.queues.setdefault(request.service, [])
         request.future = asyncio.get_running_loop().create_future()
         self.fleet.demand.record(
-            request.team, team_usage.charged_tokens(request.terms), clocks.boot_time()
+            request.team, team_usage.charged_tokens(request.metadata), clocks.boot_time()
         )
         queue.append(request)
         # With other requests waiting, the next periodic scan handles this one in its order.
@@ -243,7 +245,7 @@
         usage = self.fleet.usage.totals(now)
         demand = self.fleet.demand.totals(now)
         excess_by_team = team_usage.excess_over_share(demand, usage)
-        read_rate = self.read_tokens_per_second(service, demand, now)
+        prefill_rate = self.prefill_tokens_per_second(service, demand, now)
         queue.sort(
             key=lambda item: (
                 item.team in excess_by_team,
@@ -259,7 +261,7 @@
             if request.future is None or request.future.done():
                 continue
             choice = None
-            if failed_choices < MAX_FAILED_CHOICES and pool.may_have_room(
+            if failed_choices < MAX_FAILED_CHOICES and pool.may_have_capacity(
                 excess_by_team.get(request.team)
             ):
                 choice = pool.choose(request, excess_by_team)
@@ -273,20 +275,22 @@
             if choice is not None:
                 request.unread_tokens = choice.unread_tokens
             cannot_be_in_time = bool(pool.candidates) and (
-                now + tokens_ahead / read_rate > request.refuse_at
+                now + tokens_ahead / prefill_rate > request.refuse_at
             )
             if now >= request.refuse_at or cannot_be_in_time:
                 queue.remove(request)
                 request.future.set_result(
                     self.build_refusal(
-                        request, pool.candidates, tokens_ahead, read_rate, excess_by_team
+                        request, pool.candidates, tokens_ahead, prefill_rate, excess_by_team
                     )
                 )
                 continue
             tokens_ahead += request.unread_tokens
 
-    def read_tokens_per_second(self, service: str, demand: dict[str, float], now: float) -> float:
-        """Return this gateway's expected share of the engines' read rate, in tokens per second.
+    def prefill_tokens_per_second(
+        self, service: str, demand: dict[str, float], now: float
+    ) -> float:
+        """Return this gateway's expected share of the engines' prefill rate, in tokens per second.
 
         The balancer distributes clients unevenly, so the share is the gateway's fraction of all
         arriving tokens, and at least an equal share among the live gateways.
@@ -302,11 +306,11 @@
         request: WaitingRequest,
         candidates: list[gateway.Endpoint],
         tokens_ahead: int,
-        read_rate: float,
+        prefill_rate: float,
         excess_by_team: dict[str, float],
     ) -> PlacementRefusal:
         """Return a refusal with a randomized retry delay."""
-        expected_wait_seconds = tokens_ahead / read_rate
+        expected_wait_seconds = tokens_ahead / prefill_rate
         jitter = 1.0 + RETRY_AFTER_JITTER_FRACTION * random.random()
         return PlacementRefusal(
             reason="no capacity in time" if candidates else "no endpoint",
@@ -347,21 +351,23 @@
             return False
         gateways = self.fleet.live_gateways
         own_id = self.fleet.settings.instance_id
-        return self.fleet.pace.may_send(endpoint.id, rate, own_id, gateways, now)
+        return self.fleet.cold_start_limiter.may_send(endpoint.id, rate, own_id, gateways, now)
 
     def release(self, request: WaitingRequest, placed: placement.Choice | PlacementRefusal) -> None:
         """Release the reservation of a request that will not be sent."""
         if isinstance(placed, placement.Choice):
-            memory_tokens = request.terms.prompt_tokens + request.terms.output_tokens
+            memory_tokens = request.metadata.prompt_tokens + request.metadata.output_tokens
             self.fleet.loads.finish_request(placed.endpoint.id, memory_tokens, placed.unread_tokens)
 
     def reserve(self, request: WaitingRequest, choice: placement.Choice, now: float) -> None:
         """Add a request to the load of its endpoint before it is sent."""
         fleet = self.fleet
         endpoint = choice.endpoint
-        terms = request.terms
+        metadata = request.metadata
         fleet.loads.start_request(
-            endpoint.id, choice.unread_tokens, terms.prompt_tokens + terms.output_tokens
+            endpoint.id,
+            choice.unread_tokens,
+            metadata.prompt_tokens + metadata.output_tokens,
         )
         service = fleet.configuration.services[request.service] if fleet.configuration else None
         if service is None:
@@ -370,8 +376,8 @@
             cache = fleet.caches.get(endpoint.id, service.engine.cache_tokens)
             cache.record_prompt(request.prefix_keys)
             self.on_prompt(endpoint.id, request.prefix_keys)
-            fleet.usage.record(request.team, team_usage.charged_tokens(terms), now)
+            fleet.usage.record(request.team, team_usage.charged_tokens(metadata), now)
         if fleet.table.cold_until(endpoint) > now and service.cold_requests_per_second > 0:
-            fleet.pace.record_send(
+            fleet.cold_start_limiter.record_send(
                 endpoint.id, service.cold_requests_per_second, fleet.known_gateway_count, now
             )
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -90,7 +90,7 @@
     def __init__(
         self,
         dependencies: RequestDependencies,
-        terms: gateway.RequestMetadata,
+        metadata: gateway.RequestMetadata,
         route: gateway.Route,
         team: str | None,
         body: bytes,
@@ -98,24 +98,25 @@
     ) -> None:
         self.dependencies = dependencies
         self.fleet = dependencies.fleet
-        self.terms = terms
+        self.metadata = metadata
         self.route = route
         self.team = team
         self.body = body
         self.responder = responder
-        self.progress = RequestProgress(terms.last_event_id)
-        self.service = choose_service(route, terms.request_id)
+        self.progress = RequestProgress(metadata.last_event_id)
+        self.service = choose_service(route, metadata.request_id)
         self.response_deadline = min(
-            terms.deadline - RESPONSE_MARGIN_SECONDS, terms.arrived_at + route.timeout_seconds
+            metadata.deadline - RESPONSE_MARGIN_SECONDS,
+            metadata.arrived_at + route.timeout_seconds,
         )
         self.waiting_request = placer.WaitingRequest(
-            terms,
+            metadata,
             route,
             self.service,
             team,
             min(
                 self.response_deadline,
-                terms.arrived_at + placer.MAX_WAIT_FRACTION * route.target_latency_seconds,
+                metadata.arrived_at + placer.MAX_WAIT_FRACTION * route.target_latency_seconds,
             ),
         )
 
@@ -144,12 +145,12 @@
         if isinstance(placed, placer.PlacementRefusal):
             LOGGER.log(
                 events.Event.NO_ENDPOINT_IN_TIME,
-                request_id=self.terms.request_id,
+                request_id=self.metadata.request_id,
                 reason=placed.reason,
                 service=self.service,
                 team=self.team,
                 over_share=placed.over_share,
-                waited_ms=round((clocks.boot_time() - self.terms.arrived_at) * 1000),
+                waited_ms=round((clocks.boot_time() - self.metadata.arrived_at) * 1000),
                 expected_wait_ms=round(placed.expected_wait_seconds * 1000),
                 tokens_ahead=placed.tokens_ahead,
                 candidates=placed.candidate_count,
@@ -157,7 +158,7 @@
             )
             raise self.final_refusal(placed.reason, placed.retry_after_seconds)
         endpoint = placed.endpoint
-        reservation = LoadReservation(self.fleet, endpoint.id, placed, self.terms)
+        reservation = LoadReservation(self.fleet, endpoint.id, placed, self.metadata)
         try:
             return await self.attempt_at(endpoint, placed, reservation)
         except errors.EndpointNotStartedError as error:
@@ -188,7 +189,7 @@
     def record_cut_stream(self, outcome: str, reason: str) -> None:
         """Count and log a response that was started but not completed."""
         self.dependencies.meters.count_outcome(outcome, 0)
-        LOGGER.log(events.Event.STREAM_CUT, request_id=self.terms.request_id, reason=reason)
+        LOGGER.log(events.Event.STREAM_CUT, request_id=self.metadata.request_id, reason=reason)
 
     def may_retry(self) -> bool:
         """Return whether the route allows another run."""
@@ -199,7 +200,7 @@
         self.dependencies.meters.failed_attempts.labels(outcome).inc()
         LOGGER.log(
             events.Event.GATEWAY_ATTEMPT_FAILED,
-            request_id=self.terms.request_id,
+            request_id=self.metadata.request_id,
             endpoint=endpoint.id,
             outcome=outcome,
             detail=detail,
@@ -221,7 +222,7 @@
         try:
             if self.team is not None:
                 require_fresh_proof(self.fleet)
-                if self.fleet.team_of(self.terms.api_key) != self.team:
+                if self.fleet.team_of(self.metadata.api_key) != self.team:
                     raise RefusalError(401, "API key revoked")
             remaining_seconds = self.response_deadline - now
             if remaining_seconds < MIN_ATTEMPT_SECONDS:
@@ -237,15 +238,15 @@
         self.progress.runs += 1
         LOGGER.log(
             events.Event.ATTEMPT_SENT,
-            request_id=self.terms.request_id,
+            request_id=self.metadata.request_id,
             endpoint=endpoint.id,
             team=self.team,
-            waited_ms=round((now - self.terms.arrived_at) * 1000),
+            waited_ms=round((now - self.metadata.arrived_at) * 1000),
             expected_ms=round(placed.expected_seconds * 1000),
             cost_ms=round(placed.cost_seconds * 1000),
             slowness=round(placed.slowness, 2),
             unread_tokens=placed.unread_tokens,
-            prompt_tokens=self.terms.prompt_tokens,
+            prompt_tokens=self.metadata.prompt_tokens,
             owner=placed.owner_id,
             attempt=self.progress.sends,
             config=self.fleet.configuration.version if self.fleet.configuration else None,
@@ -254,7 +255,7 @@
             call = await self.wait_with_timeout(
                 self.dependencies.endpoint_client.call(
                     endpoint,
-                    self.terms,
+                    self.metadata,
                     self.team,
                     self.body,
                     int(remaining_seconds * 1000),
@@ -300,9 +301,9 @@
         self, call: calls.EndpointCall, reservation: "LoadReservation", sent_at: float
     ) -> bool:
         """Relay a response to the client; return False if another attempt should follow."""
-        response, marks = call.response, call.marks
+        response, response_metadata = call.response, call.response_metadata
         succeeded = 200 <= response.status < 300
-        if marks.encoded or (succeeded and not marks.proven):
+        if response_metadata.encoded or (succeeded and not response_metadata.proven):
             raise errors.EndpointBrokenError("response was not produced by the endpoint")
         if succeeded and self.route.kind is gateway.RequestKind.STREAM:
             await self.relay_stream(call, reservation, sent_at)
@@ -332,10 +333,10 @@
         self.dependencies.meters.count_outcome("answered", call.response.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_ANSWERED,
-            request_id=self.terms.request_id,
+            request_id=self.metadata.request_id,
             endpoint=call.endpoint.id,
             status=call.response.status,
-            total_ms=round((now - self.terms.arrived_at) * 1000),
+            total_ms=round((now - self.metadata.arrived_at) * 1000),
         )
 
     async def relay_stream(
@@ -345,12 +346,14 @@
         buffered = b""
         while True:
             data = await self.wait_with_timeout(call.exchange.read_data(), READ_TIMEOUT_SECONDS)
-            if not reservation.prompt_read:
+            if not reservation.prefilled:
                 reservation.record_first_event()
                 now = clocks.boot_time()
                 expected_seconds = reservation.choice.expected_seconds
-                self.fleet.health.record_latency(call.endpoint.id, now - sent_at, expected_seconds, now)
-                self.dependencies.meters.first_event.observe(now - self.terms.arrived_at)
+                self.fleet.health.record_latency(
+                    call.endpoint.id, now - sent_at, expected_seconds, now
+                )
+                self.dependencies.meters.first_event.observe(now - self.metadata.arrived_at)
             if data is None:
                 break
             if self.route.resumable:
@@ -381,31 +384,33 @@
 class LoadReservation:
     """The load that one attempt adds to its endpoint."""
 
-    __slots__ = ("choice", "endpoint_id", "fleet", "memory_tokens", "prompt_read")
+    __slots__ = ("choice", "endpoint_id", "fleet", "memory_tokens", "prefilled")
 
     def __init__(
         self,
         fleet: fleet_module.FleetState,
         endpoint_id: str,
         choice: placement.Choice,
-        terms: gateway.RequestMetadata,
+        metadata: gateway.RequestMetadata,
     ) -> None:
         self.fleet = fleet
         self.endpoint_id = endpoint_id
         self.choice = choice
-        self.memory_tokens = terms.prompt_tokens + terms.output_tokens
-        self.prompt_read = False
+        self.memory_tokens = metadata.prompt_tokens + metadata.output_tokens
+        self.prefilled = False
 
     def record_first_event(self) -> None:
-        """Mark the prompt as read, which the first event shows."""
-        if not self.prompt_read:
-            self.prompt_read = True
+        """Mark the prefill as finished, which the first event shows."""
+        if not self.prefilled:
+            self.prefilled = True
             self.fleet.loads.record_prefill(self.endpoint_id, self.choice.unread_tokens)
 
     def release(self) -> None:
         """Remove the attempt's load from its endpoint."""
-        remaining_unread_tokens = 0 if self.prompt_read else self.choice.unread_tokens
-        self.fleet.loads.finish_request(self.endpoint_id, self.memory_tokens, remaining_unread_tokens)
+        remaining_unread_tokens = 0 if self.prefilled else self.choice.unread_tokens
+        self.fleet.loads.finish_request(
+            self.endpoint_id, self.memory_tokens, remaining_unread_tokens
+        )
 
 
 def choose_service(route: gateway.Route, request_id: str) -> str:
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -79,12 +79,12 @@
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
     ) -> gateway.RequestMetadata:
-        """Return the decoded terms of a client's request; raises BadRequestError."""
+        """Return the metadata of a client's request; raises BadRequestError."""
 
     @abc.abstractmethod
     def encode_request(
         self,
-        terms: gateway.RequestMetadata,
+        request_metadata: gateway.RequestMetadata,
         endpoint: gateway.Endpoint,
         team: str | None,
         remaining_ms: int,
@@ -97,7 +97,7 @@
     def decode_response_head(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> gateway.ResponseMetadata:
-        """Return the decoded head of an endpoint's response."""
+        """Return the metadata in the head of an endpoint's response."""
 
     @abc.abstractmethod
     def response_headers(self, headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
