--- a/src/masticward/coordination/view.py
+++ b/src/masticward/coordination/view.py
@@ -34,8 +34,9 @@
 class PlatformFleetView(peer_exchange.ExchangeOwner):
     """The view of one process, kept by background tasks between ``start`` and ``close``.
 
-    A process with ``watches`` follows the object API; every other learns from peers and reads the
-    object API only if no peer has a version, and rarely otherwise.
+    A process with ``watches_object_api`` follows the object API. Every other process receives
+    versions from peers; it reads the object API at a low rate, and at the start only if no peer
+    has a configuration.
     """
 
     def __init__(
@@ -46,11 +47,11 @@
         channels: channels_module.ChannelPool,
         store: object_api.ObjectStore,
         instance_list: instance_list_module.InstanceList,
-        watches: bool,
+        watches_object_api: bool,
     ) -> None:
         self.instance = instance
         self.incarnation = incarnation
-        self.watches = watches
+        self.watches_object_api = watches_object_api
         self.channels = channels
         # Connections of their own: a reset after a silent partition must not break running calls.
         self.exchange_channels = channels_module.ChannelPool(channels.transport)
@@ -214,7 +215,7 @@
             (self.list_follower.poll, "poll-list"),
             (self.exchanges.run_rounds, "exchange-rounds"),
         ]
-        if self.watches:
+        if self.watches_object_api:
             watch = self.store_follower.watch
             loops.append((functools.partial(watch, objects.MANIFEST), "watch-manifest"))
             loops.append((functools.partial(watch, objects.OPERATIONS), "watch-operations"))
--- a/src/masticward/daemons/agent.py
+++ b/src/masticward/daemons/agent.py
@@ -28,7 +28,7 @@
         """Start all parts; slots are offered once the endpoint's state is known."""
         service = self.settings.endpoint.service
         instance = await self.bind(service)
-        self.create_view(instance, watches=False)
+        self.create_view(instance, watches_object_api=False)
         self.runner = endpoint_runner.EndpointRunner(
             self.view,
             self.endpoint,
--- a/src/masticward/daemons/common.py
+++ b/src/masticward/daemons/common.py
@@ -62,7 +62,7 @@
             admin_address=addresses.with_port(self.program_settings.admin_address, self.admin_port),
         )
 
-    def create_view(self, instance: membership.Instance, watches: bool) -> None:
+    def create_view(self, instance: membership.Instance, watches_object_api: bool) -> None:
         """Create the fleet view and serve it to peers."""
         self.view = view.PlatformFleetView(
             instance,
@@ -71,7 +71,7 @@
             self.channels,
             self.store,
             self.instance_list,
-            watches,
+            watches_object_api,
         )
         meters.register_view(self.metrics, self.view)
         masticward_pb2_grpc.add_PeerServicer_to_server(peers.PeerServicer(self.view), self.server)
--- a/src/masticward/daemons/entry.py
+++ b/src/masticward/daemons/entry.py
@@ -32,7 +32,7 @@
     async def start(self) -> None:
         """Start all parts; callers are served as soon as a configuration is known."""
         instance = await self.bind(service="")
-        self.create_view(instance, watches=True)
+        self.create_view(instance, watches_object_api=True)
         self.claims = claims.ClaimService(self.store, instance.id)
         self.router = router.Router(
             self.view,
--- a/tests/functional/test_change_outcomes.py
+++ b/tests/functional/test_change_outcomes.py
@@ -86,11 +86,11 @@
                 self.platform.store,
                 objects.OPERATIONS,
                 operations.EMPTY_OPERATIONS,
-                platforms.soon(),
+                platforms.make_deadline(),
             )
             entries = (
                 await audit.list_entries(
-                    self.platform.store, read.unwrap().document, platforms.soon()
+                    self.platform.store, read.unwrap().document, platforms.make_deadline()
                 )
             ).unwrap()
         finally:
--- a/tests/functional/test_commands.py
+++ b/tests/functional/test_commands.py
@@ -57,7 +57,7 @@
         server.application.router.add_get("/status", answer)
         port = await server.start(platforms.ANY_PORT)
         self.addAsyncCleanup(server.close)
-        self.platform.enlist(platforms.make_agent("a1"))
+        self.platform.list_instance(platforms.make_agent("a1"))
         listed = self.platform.instances.instances["a1"]
         self.platform.instances.set_instance(
             msgspec.structs.replace(
@@ -84,7 +84,7 @@
     async def test_exit_codes_and_audit(self) -> None:
         """Fails if a failure has the exit code of another, or a change is not in the trail."""
         self.assertEqual(0, (await self.run_command("publish", MAURITIUS))[0])
-        self.platform.enlist(platforms.make_agent("a1", availability_zone="ebene"))
+        self.platform.list_instance(platforms.make_agent("a1", availability_zone="ebene"))
         code, _, error = await self.run_command("zone", "out", "ebene")
         self.assertEqual(exit_codes.FAILURE, code)
         self.assertIn("--force", error)
--- a/tests/functional/test_delivery.py
+++ b/tests/functional/test_delivery.py
@@ -27,7 +27,7 @@
     async def accept(self, number: int) -> change.Accepted:
         """Make a change that gives the operations state the version ``number``."""
         operator = self.platform.operator()
-        outcome = await operator.take_out_instance(f"x{number}", True, platforms.soon())
+        outcome = await operator.take_out_instance(f"x{number}", True, platforms.make_deadline())
         accepted = outcome.unwrap()
         self.assertEqual(number, accepted.version)
         return accepted
@@ -37,7 +37,9 @@
         accepted: change.Accepted,
         security: settings.PeerSecurity | None = platforms.SECURITY,
     ) -> delivery.Delivered:
-        return await delivery.deliver(accepted, security, self.platform.list, platforms.soon())
+        return await delivery.deliver(
+            accepted, security, self.platform.list, platforms.make_deadline()
+        )
 
     async def test_delivered_change_reaches_a_fleet_without_the_object_api(self) -> None:
         """Fails if an outage right after the acceptance hides the change from the fleet (P4)."""
--- a/tests/functional/test_publishing.py
+++ b/tests/functional/test_publishing.py
@@ -111,10 +111,12 @@
         await self.platform.start()
         self.addAsyncCleanup(self.platform.close)
         for name, zone in (("a1", "north"), ("a2", "south")):
-            self.platform.enlist(platforms.make_agent(name, availability_zone=zone))
+            self.platform.list_instance(platforms.make_agent(name, availability_zone=zone))
 
     async def manifest(self) -> configuration.Manifest:
-        stored = (await self.platform.store.get(objects.MANIFEST, platforms.soon())).unwrap()
+        stored = (
+            await self.platform.store.get(objects.MANIFEST, platforms.make_deadline())
+        ).unwrap()
         return msgspec.json.decode(stored.value, type=configuration.Manifest)
 
     async def test_two_publishers_at_once_make_one_version_each_or_a_conflict(self) -> None:
@@ -127,7 +129,7 @@
         outcomes = await asyncio.gather(
             *(
                 publisher.Publisher(store, f"operator-{number}").publish(
-                    platforms.make_configuration(share=2.0 + number), platforms.soon()
+                    platforms.make_configuration(share=2.0 + number), platforms.make_deadline()
                 )
                 for number, store in enumerate(stores)
             )
@@ -158,7 +160,8 @@
                     version += 1
                     store = LosingStore(self.platform, victim, 1, fault)
                     outcome = await publisher.Publisher(store, "tester").publish(
-                        platforms.make_configuration(share=float(version)), platforms.soon()
+                        platforms.make_configuration(share=float(version)),
+                        platforms.make_deadline(),
                     )
                     await store.close()
                     self.assertEqual(version, outcome.unwrap().version)
@@ -172,7 +175,7 @@
         await self.platform.publish(share=1.0)
         store = OvertakenStore(self.platform)
         outcome = await publisher.Publisher(store, "late").publish(
-            platforms.make_configuration(share=3.0), platforms.soon()
+            platforms.make_configuration(share=3.0), platforms.make_deadline()
         )
         await store.close()
         error = outcome.failure()
@@ -219,7 +222,9 @@
         """Fails if one of two racing operators is not told who changed what."""
         await self.platform.publish(share=1.0)
         (
-            await self.platform.operator("first").take_out_zone("north", False, platforms.soon())
+            await self.platform.operator("first").take_out_zone(
+                "north", False, platforms.make_deadline()
+            )
         ).unwrap()
         meeting = asyncio.Barrier(2)
         ana, ben = (
@@ -231,8 +236,8 @@
             for name in ("ana", "ben")
         )
         first, second = await asyncio.gather(
-            ana.bring_in_zone("north", platforms.soon()),
-            ben.take_out_instance("a1", False, platforms.soon()),
+            ana.bring_in_zone("north", platforms.make_deadline()),
+            ben.take_out_instance("a1", False, platforms.make_deadline()),
         )
         for operator in (ana, ben):
             await operator.store.close()
@@ -248,17 +253,19 @@
         """Fails if a slip of an operator takes a service's last zone out."""
         await self.platform.publish(share=1.0)
         operator = self.platform.operator()
-        (await operator.take_out_zone("north", False, platforms.soon())).unwrap()
+        (await operator.take_out_zone("north", False, platforms.make_deadline())).unwrap()
         for outcome in (
-            await operator.take_out_zone("south", False, platforms.soon()),
-            await operator.take_out_instance("a2", False, platforms.soon()),
-            await operator.take_out_instance("a9", False, platforms.soon()),
-            await operator.take_out_zone("nowhere", True, platforms.soon()),
+            await operator.take_out_zone("south", False, platforms.make_deadline()),
+            await operator.take_out_instance("a2", False, platforms.make_deadline()),
+            await operator.take_out_instance("a9", False, platforms.make_deadline()),
+            await operator.take_out_zone("nowhere", True, platforms.make_deadline()),
         ):
             self.assertIsInstance(outcome.failure(), errors.ChangeRefusedError)
-        forced = (await operator.take_out_zone("south", True, platforms.soon())).unwrap()
+        forced = (await operator.take_out_zone("south", True, platforms.make_deadline())).unwrap()
         self.assertEqual(2, forced.version)
-        repeated = (await operator.take_out_zone("south", False, platforms.soon())).unwrap()
+        repeated = (
+            await operator.take_out_zone("south", False, platforms.make_deadline())
+        ).unwrap()
         self.assertFalse(repeated.changed)
 
     async def test_audit_entries_roll_and_stay_listed(self) -> None:
@@ -270,9 +277,9 @@
             if number == audit.MAXIMUM_RECENT_ENTRIES:
                 await self.platform.objects.set_faults(standin.StoreFaults(lose_answers=2))
             changed = (
-                await operator.bring_in_zone("north", platforms.soon())
+                await operator.bring_in_zone("north", platforms.make_deadline())
                 if number % 2
-                else await operator.take_out_zone("north", True, platforms.soon())
+                else await operator.take_out_zone("north", True, platforms.make_deadline())
             )
             self.assertEqual(number + 1, changed.unwrap().version)
         current = (
@@ -280,13 +287,15 @@
                 self.platform.store,
                 objects.OPERATIONS,
                 operations.EMPTY_OPERATIONS,
-                platforms.soon(),
+                platforms.make_deadline(),
             )
         ).unwrap()
         self.assertEqual(2 * audit.ENTRIES_PER_OBJECT, current.document.audit_rolled)
         self.assertLessEqual(len(current.document.audit), audit.MAXIMUM_RECENT_ENTRIES)
         listed = (
-            await audit.list_entries(self.platform.store, current.document, platforms.soon())
+            await audit.list_entries(
+                self.platform.store, current.document, platforms.make_deadline()
+            )
         ).unwrap()
         self.assertEqual(list(range(1, entries + 1)), [entry.to_version for entry in listed])
 
@@ -316,10 +325,10 @@
         name = objects.team_shard_object_name(manifest.retired[0].name)
         content = self.platform.objects.objects[name].value
         written = await publisher.write_shard(
-            self.platform.store, manifest.retired[0].name, content, platforms.soon()
+            self.platform.store, manifest.retired[0].name, content, platforms.make_deadline()
         )
         self.assertIsInstance(written, result.Success)
-        await retired_shards.delete_due(self.platform.store, due, platforms.soon())
+        await retired_shards.delete_due(self.platform.store, due, platforms.make_deadline())
         self.assertIn(name, self.platform.objects.objects)
 
     async def test_unchanged_files_make_no_version(self) -> None:
--- a/tests/functional/test_view.py
+++ b/tests/functional/test_view.py
@@ -55,11 +55,13 @@
         await platforms.wait_until(
             lambda: len(cut_off.view.available_agents("ledger")) == 2, "both agents usable"
         )
-        (await self.platform.operator().take_out_zone("north", False, platforms.soon())).unwrap()
+        (
+            await self.platform.operator().take_out_zone("north", False, platforms.make_deadline())
+        ).unwrap()
         await self.wait_for_versions([cut_off, agent], (1, 1))
         self.assertTrue(agent.view.is_out_of_service("a1", "north"))
         self.assertEqual(cut_off.view.available_agents("ledger"), [spare.instance])
-        (await self.platform.operator().bring_in_zone("north", platforms.soon())).unwrap()
+        (await self.platform.operator().bring_in_zone("north", platforms.make_deadline())).unwrap()
         await self.wait_for_versions([cut_off, agent], (1, 2))
         self.assertEqual(2, len(cut_off.view.available_agents("ledger")))
 
@@ -207,7 +209,7 @@
     async def test_last_list_is_kept_while_the_list_is_down(self) -> None:
         """Fails if an outage of the instance list empties the view."""
         entry = await self.platform.add(platforms.make_entry("e1"))
-        self.platform.enlist(platforms.make_agent("a1", peer_address="127.0.0.1:9"))
+        self.platform.list_instance(platforms.make_agent("a1", peer_address="127.0.0.1:9"))
         await platforms.wait_until(lambda: len(entry.view.members()) == 2, "listed")
         self.platform.instances.faults.mode = "down"
         await platforms.wait_until(lambda: not entry.view.list_follower.available, "outage noticed")
--- a/tests/lib/platforms.py
+++ b/tests/lib/platforms.py
@@ -73,7 +73,7 @@
     return make_entry(name, role=membership.Role.AGENT, service="ledger", **fields)
 
 
-def soon() -> float:
+def make_deadline() -> float:
     """Return a generous monotonic deadline."""
     return clocks.deadline_after(TIMEOUT_SECONDS)
 
@@ -116,7 +116,7 @@
         self.gate: Partition | None = None
 
     async def start(
-        self, watches: bool, object_api_url: str, incarnation: int, gated: bool
+        self, watches_object_api: bool, object_api_url: str, incarnation: int, gated: bool
     ) -> None:
         """Start the server and the view, and list the instance."""
         transport = channels.PeerTransport(SECURITY)
@@ -142,11 +142,11 @@
             self.pool,
             self.store,
             self.list,
-            watches,
+            watches_object_api,
         )
         masticward_pb2_grpc.add_PeerServicer_to_server(peers.PeerServicer(self.view), self.server)
         await self.server.start()
-        self.platform.enlist(self.instance)
+        self.platform.list_instance(self.instance)
         await self.view.start()
 
     @property
@@ -199,8 +199,10 @@
         """Start one process; entries watch the object API."""
         process = Process(self, instance)
         self.processes.append(process)
-        watches = instance.role is membership.Role.ENTRY
-        await process.start(watches, object_api_url or self.store_url, incarnation, gated)
+        watches_object_api = instance.role is membership.Role.ENTRY
+        await process.start(
+            watches_object_api, object_api_url or self.store_url, incarnation, gated
+        )
         return process
 
     async def stop_process(self, process: Process) -> None:
@@ -208,7 +210,7 @@
         self.processes.remove(process)
         await process.stop()
 
-    def enlist(self, instance: membership.Instance) -> None:
+    def list_instance(self, instance: membership.Instance) -> None:
         """List an instance."""
         self.instances.set_instance(
             instance_list_standin.ListedInstance(
@@ -224,7 +226,7 @@
     async def publish(self, share: float, teams: int = 2) -> change.Accepted:
         """Publish a configuration that differs by its share or its number of teams."""
         outcome = await publisher.Publisher(self.store, "tester").publish(
-            make_configuration(share, teams), soon()
+            make_configuration(share, teams), make_deadline()
         )
         return outcome.unwrap()
 
--- a/tests/unit/test_metrics_page.py
+++ b/tests/unit/test_metrics_page.py
@@ -32,7 +32,7 @@
             channels.ChannelPool(transport),
             object_api.HttpObjectStore(platform.object_api_url),
             instance_list.HttpInstanceList(platform.instance_list_url),
-            watches=False,
+            watches_object_api=False,
         )
         entry_meters.EntryMeters(process_metrics)
         agent_metrics.AgentMetrics(process_metrics)
