--- a/src/masticward/coordination/background.py
+++ b/src/masticward/coordination/background.py
@@ -1,4 +1,4 @@
-"""Background loops that outlive unexpected failures and do not act at once with others."""
+"""Background loops that restart after unexpected errors, and jitter for their periods."""
 
 import asyncio
 import collections.abc
@@ -6,27 +6,27 @@
 
 from masticward import events, logs
 
-LOOP_RESTART_SECONDS = 0.5
-JITTER = 0.25
+RESTART_DELAY_SECONDS = 0.5
+JITTER_FRACTION = 0.25
 
-logger = logs.get_logger(__name__)
+LOGGER = logs.get_logger(__name__)
 
 
-async def keep_running(
+async def run_with_restarts(
     loop: collections.abc.Callable[[], collections.abc.Awaitable[None]], name: str
 ) -> None:
-    """Run a background loop, and run it again after an unexpected failure.
+    """Run a background loop, and restart it when it ends or raises an unexpected error.
 
-    A process whose loop has ended would keep old versions without any sign of it.
+    Without the restart, a process could keep outdated versions with no sign of the fault.
     """
     while True:
         try:
             await loop()
         except Exception as error:
-            logger.log(events.Event.TASK_FAILED, task=name, error=repr(error))
-        await asyncio.sleep(jittered(LOOP_RESTART_SECONDS))
+            LOGGER.log(events.Event.TASK_FAILED, task=name, error=repr(error))
+        await asyncio.sleep(jittered(RESTART_DELAY_SECONDS))
 
 
 def jittered(seconds: float) -> float:
-    """Return a random time within JITTER of ``seconds``, so that processes do not act at once."""
-    return seconds * random.uniform(1 - JITTER, 1 + JITTER)
+    """Return a random duration around ``seconds``, so that processes do not act in step."""
+    return seconds * random.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
--- a/src/masticward/coordination/configuration_reader.py
+++ b/src/masticward/coordination/configuration_reader.py
@@ -1,4 +1,4 @@
-"""Puts a configuration together from its manifest and shards, from the object API or a peer."""
+"""Assembles a configuration from a manifest and shards, from the object API or from a peer."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class ConfigurationReader:
-    """Keeps the parts of the latest configuration, so that only changed shards are transferred."""
+    """Caches the parts of the latest configuration, so that only changed shards are transferred."""
 
     __slots__ = ("known_shards", "known_teams", "manifest", "store", "stored_versions", "version")
 
@@ -23,7 +23,7 @@
         self.store = store
         self.known_shards: dict[str, bytes] = {}
         self.known_teams: dict[str, tuple[configuration_models.Team, ...]] = {}
-        # Versions of the shard objects that were read, by object name.
+        # Versions of the shards in the object API, by object name.
         self.stored_versions: dict[str, int] = {}
         self.manifest = b""
         self.version = 0
@@ -31,22 +31,23 @@
     async def assemble(
         self, manifest: configuration_models.Manifest, deadline: float
     ) -> result.Result[configuration_models.Configuration, errors.MasticwardError]:
-        """Return the configuration of a manifest before a monotonic deadline.
+        """Read the missing shards of a manifest and return the configuration.
 
-        StoreError if a shard cannot be read, VersionRefusedError if one is damaged.
+        ``deadline`` is a monotonic time in seconds. Fails with a StoreError if a shard cannot be
+        read, with a VersionRefusedError if one is damaged.
         """
-        limit = asyncio.Semaphore(CONCURRENT_SHARD_READS)
+        semaphore = asyncio.Semaphore(CONCURRENT_SHARD_READS)
 
-        def note_version(stored: object_api.StoredObject) -> bytes:
+        def record_version(stored: object_api.StoredObject) -> bytes:
             self.stored_versions[stored.name] = stored.version
             return stored.value
 
         async def read(name: str) -> result.Result[bytes, errors.StoreError]:
             if name in self.known_shards:
                 return result.Success(self.known_shards[name])
-            async with limit:
+            async with semaphore:
                 answer = await self.store.get(objects.team_shard_object_name(name), deadline)
-            return answer.map(note_version)
+            return answer.map(record_version)
 
         answers = await asyncio.gather(*(read(name) for name in manifest.team_shards))
         contents: dict[str, bytes] = {}
@@ -59,9 +60,10 @@
     def assemble_received(
         self, raw_manifest: bytes, received: dict[str, bytes]
     ) -> result.Result[configuration_models.Configuration, errors.VersionRefusedError]:
-        """Return the configuration of a peer's manifest and the shards that it sent.
+        """Return the configuration from a peer's encoded manifest and the shards that it sent.
 
-        VersionRefusedError if a shard is damaged, or neither sent nor known.
+        Fails with a VersionRefusedError if the manifest is invalid, or if a shard is damaged or
+        neither received nor cached.
         """
         decoded = decode_manifest(raw_manifest)
         if isinstance(decoded, result.Failure):
@@ -76,9 +78,13 @@
     def join(
         self, manifest: configuration_models.Manifest, contents: dict[str, bytes]
     ) -> result.Result[configuration_models.Configuration, errors.VersionRefusedError]:
-        """Return the configuration and keep its parts for the next one and for peers."""
+        """Return the configuration, and cache its parts for the next one and for peers.
+
+        Fails with a VersionRefusedError if a shard is damaged.
+        """
         try:
-            # Only changed shards are decoded: all of 31,000 teams took 60 ms of the event loop.
+            # Only changed shards are decoded: decoding all shards of 31,000 teams blocked the event
+            # loop for 60 ms.
             teams = {
                 name: self.known_teams.get(name) or shards.decode(name, content)
                 for name, content in contents.items()
@@ -91,7 +97,7 @@
             name: version for name, version in self.stored_versions.items() if name in names
         }
         self.version = manifest.version
-        # Peers need no audit entries, which would be most of a small change.
+        # Peers do not need the audit entries, which would be most of the bytes of a small change.
         self.manifest = msgspec.json.encode(
             msgspec.structs.replace(manifest, retired=(), audit=(), audit_rolled=0)
         )
@@ -101,7 +107,7 @@
 def decode_manifest(
     raw: bytes,
 ) -> result.Result[configuration_models.Manifest, errors.VersionRefusedError]:
-    """Decode a manifest."""
+    """Decode a JSON manifest. Fails with a VersionRefusedError if it is invalid."""
     try:
         return result.Success(msgspec.json.decode(raw, type=configuration_models.Manifest))
     except msgspec.DecodeError as error:
--- a/src/masticward/coordination/list_follower.py
+++ b/src/masticward/coordination/list_follower.py
@@ -1,4 +1,4 @@
-"""Periodic reads of the instance list."""
+"""Polls the instance list."""
 
 import asyncio
 import collections.abc
@@ -16,35 +16,40 @@
     [list[membership.Instance] | None], collections.abc.Awaitable[None]
 ]
 
-logger = logs.get_logger(__name__)
+LOGGER = logs.get_logger(__name__)
 
 
 class ListFollower:
-    """Passes each list that was read to ``apply``, or None if there is no other one than before."""
+    """Reads the instance list periodically and passes the result to ``apply_list``.
 
-    __slots__ = ("apply", "available", "instance_list", "latest", "platform")
+    The result is None if the read failed or the list has not changed.
+    """
+
+    __slots__ = ("apply_list", "available", "instance_list", "latest_list", "platform_settings")
 
     def __init__(
         self,
         instance_list: instance_list_module.InstanceList,
-        platform: settings_module.PlatformSettings,
-        apply: ApplyList,
+        platform_settings: settings_module.PlatformSettings,
+        apply_list: ApplyList,
     ) -> None:
         self.instance_list = instance_list
-        self.platform = platform
-        self.apply = apply
+        self.platform_settings = platform_settings
+        self.apply_list = apply_list
         self.available = True
-        self.latest: list[membership.Instance] = []
+        self.latest_list: list[membership.Instance] = []
 
     async def poll(self) -> None:
-        """Read the instance list once per period."""
+        """Read the instance list once per configured period, without end."""
         while True:
-            await asyncio.sleep(background.jittered(self.platform.instance_list_period_seconds))
+            await asyncio.sleep(
+                background.jittered(self.platform_settings.instance_list_period_seconds)
+            )
             await self.read()
 
     async def read(self) -> None:
-        """Read the instance list; the last one is kept if that fails."""
-        deadline = clocks.deadline_after(self.platform.call_timeout_seconds)
+        """Read the instance list. The previous list stays in force if the read fails."""
+        deadline = clocks.deadline_after(self.platform_settings.call_timeout_seconds)
         answer = await self.instance_list.fetch(deadline)
         available = isinstance(answer, result.Success)
         if available != self.available:
@@ -52,10 +57,10 @@
             event = events.Event.INSTANCE_LIST_RESTORED
             if not available:
                 event = events.Event.INSTANCE_LIST_UNAVAILABLE
-            logger.log(event, detail="" if available else str(answer.failure()))
+            LOGGER.log(event, detail="" if available else str(answer.failure()))
         listed = answer.unwrap() if available else None
-        if listed is self.latest:
+        if listed is self.latest_list:
             listed = None
-        await self.apply(listed)
+        await self.apply_list(listed)
         if listed is not None:
-            self.latest = listed
+            self.latest_list = listed
--- a/src/masticward/coordination/store_follower.py
+++ b/src/masticward/coordination/store_follower.py
@@ -1,4 +1,4 @@
-"""Reads of the object API: watches of entries, and rare reads of all other processes."""
+"""Reads versions from the object API, with watches in entries and periodic reads elsewhere."""
 
 import asyncio
 import time
@@ -11,20 +11,20 @@
 from masticward.transport import object_api
 from masticward.utils import clocks
 
-# Each pending watch counts as one call of the object API.
-WATCH_SECONDS = 10.0
-WATCH_RETRY_SECONDS = 0.5
-# While the object API is down, all entries together try this often, whatever the fleet's size.
-WATCH_RETRIES_PER_SECOND_OF_FLEET = 100.0
-FALLBACK_SECONDS = 10.0
-# Bounds what all processes without a watch read together, whatever the size of the fleet.
-FALLBACK_READS_PER_SECOND_OF_FLEET = 20.0
+# Each pending watch counts as one call to the object API.
+WATCH_TIMEOUT_SECONDS = 10.0
+MINIMUM_WATCH_RETRY_SECONDS = 0.5
+# Limit for all entries together while the object API is unavailable, at any size of the fleet.
+FLEET_WATCH_RETRIES_PER_SECOND = 100.0
+MINIMUM_FALLBACK_PERIOD_SECONDS = 10.0
+# Limit for all processes without a watch together, at any size of the fleet.
+FLEET_FALLBACK_READS_PER_SECOND = 20.0
 
-logger = logs.get_logger(__name__)
+LOGGER = logs.get_logger(__name__)
 
 
 class StoreFollower:
-    """Passes what the object API holds to the process's version keeper."""
+    """Passes the values stored in the object API to the version keeper of the process."""
 
     __slots__ = ("available", "call_timeout_seconds", "keeper", "store", "view")
 
@@ -42,59 +42,62 @@
         self.available = True
 
     async def watch(self, name: str) -> None:
-        """Follow one object; a peer may still bring a version earlier."""
+        """Adopt each new version of one object, unless a peer has sent it earlier."""
         known_version = 0
         while True:
-            deadline = clocks.deadline_after(WATCH_SECONDS)
+            deadline = clocks.deadline_after(WATCH_TIMEOUT_SECONDS)
             answer = await self.store.watch(name, known_version, deadline)
-            self.note_store(answer)
+            self.log_availability(answer)
             if isinstance(answer, result.Failure):
                 await asyncio.sleep(background.jittered(self.watch_retry_seconds()))
                 continue
             stored = answer.unwrap()
             if stored is None:
                 continue
-            if await self.take_stored(stored):
+            if await self.adopt_stored(stored):
                 known_version = stored.version
             else:
                 await asyncio.sleep(background.jittered(self.watch_retry_seconds()))
 
     def watch_retry_seconds(self) -> float:
-        """Return the time between two tries of a watch that fails."""
+        """Return the delay in seconds before a failed watch is retried."""
         entries = sum(1 for item in self.view.members() if item.role is membership.Role.ENTRY)
-        return max(WATCH_RETRY_SECONDS, entries / WATCH_RETRIES_PER_SECOND_OF_FLEET)
+        return max(MINIMUM_WATCH_RETRY_SECONDS, entries / FLEET_WATCH_RETRIES_PER_SECOND)
 
-    async def read_rarely(self) -> None:
-        """Read the object API at a period that grows with the fleet, in case all peers are old."""
+    async def run_fallback_reads(self) -> None:
+        """Read the object API periodically, in case all peers have outdated versions.
+
+        The period grows with the fleet, but not while the view is stale or has no configuration.
+        """
         while True:
             members = len(self.view.members())
-            period = max(FALLBACK_SECONDS, members / FALLBACK_READS_PER_SECOND_OF_FLEET)
+            period = max(MINIMUM_FALLBACK_PERIOD_SECONDS, members / FLEET_FALLBACK_READS_PER_SECOND)
             if (
                 time.monotonic() >= self.view.fresh_until()
                 or not self.keeper.versions.config_version
             ):
-                period = FALLBACK_SECONDS
+                period = MINIMUM_FALLBACK_PERIOD_SECONDS
             await asyncio.sleep(background.jittered(period))
             await self.read()
 
     async def read(self) -> None:
-        """Read both objects once."""
+        """Read the manifest and the operations state once, and adopt newer versions."""
         deadline = clocks.deadline_after(self.call_timeout_seconds)
         names = (objects.MANIFEST, objects.OPERATIONS)
         answers = await asyncio.gather(*(self.store.get(name, deadline) for name in names))
         for answer in answers:
-            self.note_store(answer)
+            self.log_availability(answer)
             if isinstance(answer, result.Success):
-                await self.take_stored(answer.unwrap())
+                await self.adopt_stored(answer.unwrap())
 
-    async def take_stored(self, stored: object_api.StoredObject) -> bool:
-        """Take a value from the object API; False if it must be read again."""
+    async def adopt_stored(self, stored: object_api.StoredObject) -> bool:
+        """Adopt a stored value if it is newer. Return False if it must be read again."""
         if stored.name == objects.OPERATIONS:
-            self.keeper.take(version_keeper.OPERATIONS, stored.value, "object API")
+            self.keeper.adopt(version_keeper.OPERATIONS, stored.value, "object API")
             return True
         decoded = configuration_reader.decode_manifest(stored.value)
         if isinstance(decoded, result.Failure):
-            logger.log(events.Event.VERSION_REFUSED, reason=str(decoded.failure()))
+            LOGGER.log(events.Event.VERSION_REFUSED, reason=str(decoded.failure()))
             return True
         manifest = decoded.unwrap()
         if manifest.version <= self.keeper.versions.config_version:
@@ -104,19 +107,19 @@
         if isinstance(assembled, result.Failure):
             error = assembled.failure()
             if isinstance(error, errors.VersionRefusedError):
-                logger.log(events.Event.VERSION_REFUSED, reason=str(error))
+                LOGGER.log(events.Event.VERSION_REFUSED, reason=str(error))
             return False
-        self.keeper.take_configuration(assembled.unwrap(), "object API")
+        self.keeper.adopt_configuration(assembled.unwrap(), "object API")
         return True
 
-    def note_store(self, answer: result.Result[object, errors.StoreError]) -> None:
-        """Log when the object API becomes unavailable and when it is back."""
+    def log_availability(self, answer: result.Result[object, errors.StoreError]) -> None:
+        """Log when the object API becomes unavailable and when it is available again."""
         available = isinstance(answer, result.Success) or isinstance(
             answer.failure(), errors.ObjectNotFoundError
         )
         if available != self.available:
             self.available = available
             if available:
-                logger.log(events.Event.OBJECT_API_RESTORED)
+                LOGGER.log(events.Event.OBJECT_API_RESTORED)
             else:
-                logger.log(events.Event.OBJECT_API_UNAVAILABLE, detail=str(answer.failure()))
+                LOGGER.log(events.Event.OBJECT_API_UNAVAILABLE, detail=str(answer.failure()))
--- a/src/masticward/coordination/version_keeper.py
+++ b/src/masticward/coordination/version_keeper.py
@@ -1,4 +1,4 @@
-"""The versions that one process holds, and what it takes from any source."""
+"""Adopts newer configurations and operations states from all sources of a process."""
 
 import collections.abc
 
@@ -14,80 +14,83 @@
 CONFIGURATION = masticward_pb2.FetchRequest.Kind.CONFIGURATION
 OPERATIONS = masticward_pb2.FetchRequest.Kind.OPERATIONS
 
-logger = logs.get_logger(__name__)
+LOGGER = logs.get_logger(__name__)
 
 
 class VersionKeeper:
-    """Takes what is newer and valid; ``on_taken()`` is called after each newer value."""
+    """Adopts a received value if it is valid and newer than the current one.
 
-    __slots__ = ("on_taken", "reader", "versions")
+    Invalid values are logged and ignored. ``on_adopted`` is called after each adoption.
+    """
+
+    __slots__ = ("on_adopted", "reader", "versions")
 
     def __init__(
         self,
         reader: configuration_reader.ConfigurationReader,
-        on_taken: collections.abc.Callable[[], None],
+        on_adopted: collections.abc.Callable[[], None],
     ) -> None:
         self.reader = reader
-        self.on_taken = on_taken
+        self.on_adopted = on_adopted
         self.versions = versions_module.VersionStore()
 
-    def held_version(self, kind: masticward_pb2.FetchRequest.Kind) -> int:
-        """Return the version held of one kind, 0 if none."""
+    def current_version(self, kind: masticward_pb2.FetchRequest.Kind) -> int:
+        """Return the current version of one kind of value, 0 if there is none."""
         if kind == CONFIGURATION:
             return self.versions.config_version
         return self.versions.operations_version
 
     def newest(self, kind: int) -> tuple[int, bytes]:
-        """Return version and bytes of the newest value of a ``FetchRequest.Kind``; 0 if none."""
+        """Return the version and bytes of a ``FetchRequest.Kind``, version 0 if there is none."""
         if kind == CONFIGURATION:
             return self.versions.config_version, self.versions.configuration_bytes
         return self.versions.operations_version, self.versions.operations_bytes
 
     def parts(self) -> peers.ConfigurationParts | None:
-        """Return the parts of the newest configuration, None if only its bytes are held."""
+        """Return the parts of the newest configuration, None if they are not cached."""
         reader = self.reader
         if not reader.version or reader.version != self.versions.config_version:
             return None
         return peers.ConfigurationParts(reader.version, reader.manifest, reader.known_shards)
 
     def is_behind(self, config_version: int, operations_version: int) -> bool:
-        """Tell whether one of the versions is newer than this process's own."""
+        """Return whether one of the versions is newer than that of this process."""
         return (
             config_version > self.versions.config_version
             or operations_version > self.versions.operations_version
         )
 
-    def take(self, kind: masticward_pb2.FetchRequest.Kind, raw: bytes, source: str) -> None:
-        """Take an encoded value if it is newer."""
+    def adopt(self, kind: masticward_pb2.FetchRequest.Kind, raw: bytes, source: str) -> None:
+        """Adopt an encoded value if it is valid and newer."""
         if kind == CONFIGURATION:
-            taken = self.versions.adopt_configuration(raw)
+            adopted = self.versions.adopt_configuration(raw)
         else:
-            taken = self.versions.adopt_operations(raw)
-        if isinstance(taken, result.Failure):
-            logger.log(events.Event.VERSION_REFUSED, source=source, reason=str(taken.failure()))
-        elif taken.unwrap():
-            self.note_taken(kind, source)
-
-    def take_parts(self, reply: masticward_pb2.FetchReply, source: str) -> None:
-        """Take a configuration that a peer sent as a manifest and the shards unknown here."""
+            adopted = self.versions.adopt_operations(raw)
+        if isinstance(adopted, result.Failure):
+            LOGGER.log(events.Event.VERSION_REFUSED, source=source, reason=str(adopted.failure()))
+        elif adopted.unwrap():
+            self.report_adoption(kind, source)
+
+    def adopt_parts(self, reply: masticward_pb2.FetchReply, source: str) -> None:
+        """Adopt a configuration that a peer sent as a manifest and those shards missing here."""
         received = {shard.name: shard.content for shard in reply.shards}
         assembled = self.reader.assemble_received(reply.manifest, received)
         if isinstance(assembled, result.Failure):
-            logger.log(events.Event.VERSION_REFUSED, source=source, reason=str(assembled.failure()))
+            LOGGER.log(events.Event.VERSION_REFUSED, source=source, reason=str(assembled.failure()))
             return
-        self.take_configuration(assembled.unwrap(), source)
+        self.adopt_configuration(assembled.unwrap(), source)
 
-    def take_configuration(
+    def adopt_configuration(
         self, configuration: configuration_models.Configuration, source: str
     ) -> None:
-        """Take a configuration if it is newer."""
+        """Adopt a decoded configuration if it is newer."""
         if self.versions.adopt_decoded_configuration(configuration):
-            self.note_taken(CONFIGURATION, source)
+            self.report_adoption(CONFIGURATION, source)
 
-    def note_taken(self, kind: masticward_pb2.FetchRequest.Kind, source: str) -> None:
-        """Log a newer value and call ``on_taken``."""
+    def report_adoption(self, kind: masticward_pb2.FetchRequest.Kind, source: str) -> None:
+        """Log the adoption of a value and call ``on_adopted``."""
         event = events.Event.OPERATIONS_TAKEN
         if kind == CONFIGURATION:
             event = events.Event.CONFIGURATION_TAKEN
-        logger.log(event, version=self.held_version(kind), source=source)
-        self.on_taken()
+        LOGGER.log(event, version=self.current_version(kind), source=source)
+        self.on_adopted()
--- a/tests/lib/platforms.py
+++ b/tests/lib/platforms.py
@@ -1,4 +1,4 @@
-"""Builds stand-ins, configurations and processes with a view over real gRPC for tests."""
+"""Platform stand-ins, configurations and processes with a fleet view over real gRPC."""
 
 import asyncio
 import collections.abc
@@ -21,7 +21,7 @@
 
 HOST = addresses.own_loopback_host()
 ANY_PORT = f"{HOST}:0"
-# Nothing listens on the discard port of the loopback address in a test.
+# In tests nothing listens on the discard port of the loopback address.
 UNREACHABLE_URL = "http://127.0.0.1:9"
 TIMEOUT_SECONDS = 20.0
 logs.configure(logging.CRITICAL)
@@ -74,35 +74,37 @@
 
 
 def make_deadline() -> float:
-    """Return a generous monotonic deadline."""
+    """Return a monotonic deadline that a call in a test does not normally reach."""
     return clocks.deadline_after(TIMEOUT_SECONDS)
 
 
 async def wait_until(
-    condition: collections.abc.Callable[[], bool], what: str, seconds: float = TIMEOUT_SECONDS
+    condition: collections.abc.Callable[[], bool],
+    description: str,
+    seconds: float = TIMEOUT_SECONDS,
 ) -> float:
     """Wait until a condition holds and return the seconds it took; fail after ``seconds``."""
     started = time.monotonic()
     while not condition():
         if time.monotonic() > started + seconds:
-            raise AssertionError(f"not within {seconds} s: {what}")
+            raise AssertionError(f"not within {seconds} s: {description}")
         await asyncio.sleep(0.01)
     return time.monotonic() - started
 
 
 class Partition(forwarder.Forwarder):
-    """The network in front of a peer."""
+    """A forwarder in front of a peer that can simulate a network partition."""
 
     def begin(self) -> None:
-        """Pass nothing on."""
+        """Hold back all traffic, as if packets were dropped."""
         self.set_mode(forwarder.ForwarderMode.DROP)
 
     def heal(self) -> None:
-        """Pass everything on, also what was held back."""
+        """Forward all traffic again, including what was held back."""
         self.set_mode(forwarder.ForwarderMode.PASS)
 
     def heal_for_new_connections(self) -> None:
-        """Pass new connections only, as if TCP had backed off long on the others."""
+        """Forward new connections only, as if TCP back-off delayed the existing ones."""
         self.passing = asyncio.Event()
         self.heal()
 
@@ -113,20 +115,20 @@
     def __init__(self, platform: "Platform", instance: membership.Instance) -> None:
         self.platform = platform
         self.instance = instance
-        self.gate: Partition | None = None
+        self.partition: Partition | None = None
 
     async def start(
-        self, watches_object_api: bool, object_api_url: str, incarnation: int, gated: bool
+        self, watches_object_api: bool, object_api_url: str, incarnation: int, partitionable: bool
     ) -> None:
-        """Start the server and the view, and list the instance."""
+        """Start the server and the view, and add the instance to the instance list."""
         transport = channels.PeerTransport(SECURITY)
         self.pool = channels.ChannelPool(transport)
         self.server = transport.create_server()
         port = transport.bind(self.server, ANY_PORT)
         address = f"{HOST}:{port}"
-        if gated:
-            self.gate = Partition(HOST, port)
-            address = f"{HOST}:{await self.gate.start(ANY_PORT)}"
+        if partitionable:
+            self.partition = Partition(HOST, port)
+            address = f"{HOST}:{await self.partition.start(ANY_PORT)}"
         self.instance = msgspec.structs.replace(self.instance, peer_address=address)
         self.store = object_api.HttpObjectStore(object_api_url)
         self.list = instance_list.HttpInstanceList(self.platform.list_url)
@@ -151,22 +153,22 @@
 
     @property
     def versions(self) -> tuple[int, int]:
-        """The configuration and operations versions that the process holds."""
+        """The configuration version and the operations version of the process."""
         return self.view.versions.config_version, self.view.versions.operations_version
 
     async def stop(self) -> None:
-        """Stop without a word, as a crash does; the instance stays listed."""
+        """Stop without announcing it, as in a crash. The instance stays in the instance list."""
         await self.view.close()
         await self.server.stop(None)
         await self.pool.close()
         await self.store.close()
         await self.list.close()
-        if self.gate is not None:
-            await self.gate.close()
+        if self.partition is not None:
+            await self.partition.close()
 
 
 class Platform:
-    """Object API and instance list stand-ins with the processes of one test."""
+    """Stand-ins for the object API and instance list, and the processes of one test."""
 
     def __init__(self) -> None:
         self.objects = object_api_standin.ObjectApiStandin()
@@ -181,7 +183,7 @@
         self.list = instance_list.HttpInstanceList(self.list_url)
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop the processes and stand-ins."""
         for process in self.processes:
             await process.stop()
         await self.store.close()
@@ -194,24 +196,24 @@
         instance: membership.Instance,
         object_api_url: str = "",
         incarnation: int = 1,
-        gated: bool = False,
+        partitionable: bool = False,
     ) -> Process:
-        """Start one process; entries watch the object API."""
+        """Start a process. Entries watch the object API."""
         process = Process(self, instance)
         self.processes.append(process)
         watches_object_api = instance.role is membership.Role.ENTRY
         await process.start(
-            watches_object_api, object_api_url or self.store_url, incarnation, gated
+            watches_object_api, object_api_url or self.store_url, incarnation, partitionable
         )
         return process
 
     async def stop_process(self, process: Process) -> None:
-        """Stop one process."""
+        """Stop a process, which stays in the instance list."""
         self.processes.remove(process)
         await process.stop()
 
     def list_instance(self, instance: membership.Instance) -> None:
-        """List an instance."""
+        """Add an instance to the instance list, or replace it."""
         self.instances.set_instance(
             instance_list_standin.ListedInstance(
                 id=instance.id,
@@ -224,12 +226,12 @@
         )
 
     async def publish(self, share: float, teams: int = 2) -> change.Accepted:
-        """Publish a configuration that differs by its share or its number of teams."""
+        """Publish a configuration whose teams have the given share and number."""
         outcome = await publisher.Publisher(self.store, "tester").publish(
             make_configuration(share, teams), make_deadline()
         )
         return outcome.unwrap()
 
     def operator(self, name: str = "tester") -> operations.OperationsChange:
-        """Return the changes of one operator."""
+        """Return an object that makes the changes of one operator."""
         return operations.OperationsChange(self.store, self.list, name)
--- a/tests/unit/test_peer_rotation.py
+++ b/tests/unit/test_peer_rotation.py
@@ -1,4 +1,4 @@
-"""Guards against peers that are never reached and against entries that are asked too often."""
+"""Guards against rounds that omit some peers or exceed the exchange rate at entries."""
 
 import collections
 import unittest
@@ -17,19 +17,19 @@
 
 
 class PeerRotationTest(unittest.TestCase):
-    def test_small_fleet_reaches_everyone_and_an_entry_every_other_round(self) -> None:
+    def test_rounds_reach_all_members_and_every_other_round_an_entry(self) -> None:
         rotation = peer_rotation.PeerRotation("a0")
         fleet = make_fleet(4, 9)
         rotation.set_members(fleet)
         reached: collections.Counter[str] = collections.Counter()
         for _ in range(10):
-            chosen = [*rotation.pick(frozenset()), *rotation.pick(frozenset())]
+            chosen = [*rotation.choose_peers(frozenset()), *rotation.choose_peers(frozenset())]
             self.assertEqual(2 * peer_rotation.PEERS_PER_ROUND, len({item.id for item in chosen}))
             self.assertTrue(any(item.role is membership.Role.ENTRY for item in chosen))
             reached.update(item.id for item in chosen)
         self.assertEqual({item.id for item in fleet} - {"a0"}, set(reached))
 
-    def test_extra_rounds_reach_everyone_within_six(self) -> None:
+    def test_six_extra_rounds_reach_all_members(self) -> None:
         rotation = peer_rotation.PeerRotation("a0")
         fleet = make_fleet(4, 9)
         rotation.set_members(fleet)
@@ -37,38 +37,42 @@
         rounds = 6
         for _ in range(rounds):
             count = peer_rotation.PEERS_PER_EXTRA_ROUND
-            chosen = rotation.pick(frozenset(), count)
+            chosen = rotation.choose_peers(frozenset(), count)
             self.assertEqual(count, len({item.id for item in chosen}))
             reached.update(item.id for item in chosen)
         self.assertEqual({item.id for item in fleet} - {"a0"}, set(reached))
 
-    def test_silent_peers_are_tried_and_do_not_take_the_place_of_others(self) -> None:
+    def test_unresponsive_peers_are_probed_in_addition_to_others(self) -> None:
         rotation = peer_rotation.PeerRotation("a0")
         rotation.set_members(make_fleet(3, 9))
-        silent = {"e0", "e1", "a1", "a2"}
+        unresponsive = {"e0", "e1", "a1", "a2"}
         for _ in range(5):
-            first = {item.id for item in rotation.pick(silent)}
-            second = {item.id for item in rotation.pick(silent)}
+            first = {item.id for item in rotation.choose_peers(unresponsive)}
+            second = {item.id for item in rotation.choose_peers(unresponsive)}
             for chosen in (first, second):
-                self.assertLessEqual(silent, chosen, "each is tried in each round")
-                self.assertEqual(peer_rotation.PEERS_PER_ROUND, len(chosen - silent))
-            self.assertIn("e2", first | second, "the only entry that answers is asked")
+                self.assertLessEqual(unresponsive, chosen, "each is probed in each round")
+                self.assertEqual(peer_rotation.PEERS_PER_ROUND, len(chosen - unresponsive))
+            self.assertIn("e2", first | second, "the only responsive entry is chosen")
 
-    def test_target_fleet_bounds_partners_and_the_rate_at_entries(self) -> None:
-        """Fails if 6,700 agents together ask each of 410 entries more than 8 times per second."""
+    def test_partners_and_rate_at_entries_are_bounded_in_a_large_fleet(self) -> None:
+        """Fails if 6,700 agents make more than 8 exchanges per second with each of 410 entries."""
         fleet = make_fleet(410, 6700)
-        asked: collections.Counter[str] = collections.Counter()
+        exchanges_by_role: collections.Counter[str] = collections.Counter()
         sample, rounds = 60, 40
         for number in range(sample):
             rotation = peer_rotation.PeerRotation(f"a{number}")
             rotation.set_members(fleet)
             self.assertEqual(
-                peer_rotation.ENTRY_PARTNERS + peer_rotation.OTHER_PARTNERS,
+                peer_rotation.MAXIMUM_ENTRY_PARTNERS + peer_rotation.MAXIMUM_AGENT_PARTNERS,
                 len(rotation.all_partners()),
             )
             for _ in range(rounds):
-                asked.update(item.role.value for item in rotation.pick(frozenset()))
+                exchanges_by_role.update(
+                    item.role.value for item in rotation.choose_peers(frozenset())
+                )
         seconds = rounds / peer_rotation.ROUNDS_PER_SECOND
-        rate_per_entry = asked["entry"] / sample / seconds * 6700 / 410
-        self.assertGreater(asked["entry"], 0)
-        self.assertLessEqual(rate_per_entry, peer_rotation.AGENT_EXCHANGES_PER_ENTRY_SECOND + 1e-9)
+        rate_per_entry = exchanges_by_role["entry"] / sample / seconds * 6700 / 410
+        self.assertGreater(exchanges_by_role["entry"], 0)
+        self.assertLessEqual(
+            rate_per_entry, peer_rotation.MAXIMUM_EXCHANGES_PER_ENTRY_PER_SECOND + 1e-9
+        )
