--- a/src/masticward/bench/queue_costs.py
+++ b/src/masticward/bench/queue_costs.py
@@ -18,7 +18,7 @@
 from masticward.coordination import dispatcher, fleet_view
 from masticward.models import configuration as configuration_models
 from masticward.models import membership, work
-from masticward.protocol import dispatch_role, snapshots
+from masticward.protocol import dispatch_handler, snapshots
 from masticward.state import fair_queue, ledger
 
 SERVICE = "bench"
@@ -203,7 +203,7 @@
     return (time.perf_counter() - begun) / len(reports) * MICROSECONDS
 
 
-def new_dispatcher() -> tuple[dispatcher.Dispatcher, list[dispatch_role.AgentPeer]]:
+def new_dispatcher() -> tuple[dispatcher.Dispatcher, list[dispatch_handler.AgentPeer]]:
     """Return a dispatcher with agents."""
     agents = [
         membership.Instance(
@@ -216,7 +216,7 @@
         for number in range(AGENT_COUNT)
     ]
     result = dispatcher.Dispatcher(StaticView(agents), SERVICE, settings.QueuePolicyName.FAIR_SHARE)
-    peers = [dispatch_role.AgentPeer(agent.id, 1, agent.peer_address, ZONE) for agent in agents]
+    peers = [dispatch_handler.AgentPeer(agent.id, 1, agent.peer_address, ZONE) for agent in agents]
     for peer in peers:
         result.open_agent(peer, None)
     return result, peers
@@ -234,7 +234,7 @@
 def assign_microseconds(slots: int) -> float:
     """Return the time to queue a ticket and assign one of many free slots to it."""
     target = fill_slots(slots)
-    entry = dispatch_role.EntryPeer("entry", 1)
+    entry = dispatch_handler.EntryPeer("entry", 1)
     target.open_entry(entry)
     now = time.monotonic()
     count = min(slots, TICKETS_PER_ROUND)
--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -10,7 +10,7 @@
 from masticward import events, logs, settings
 from masticward.coordination import fleet_view, rendezvous
 from masticward.models import work
-from masticward.protocol import dispatch_role
+from masticward.protocol import dispatch_handler
 from masticward.state import fair_queue, ledger
 from masticward.utils import tasks
 
@@ -45,7 +45,7 @@
         "tickets",
     )
 
-    def __init__(self, peer: dispatch_role.AgentPeer) -> None:
+    def __init__(self, peer: dispatch_handler.AgentPeer) -> None:
         self.peer = peer
         # Pairs of deadline and slot id, earliest deadline first.
         self.free: collections.deque[tuple[float, int]] = collections.deque()
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        entry: dispatch_role.EntryPeer,
+        entry: dispatch_handler.EntryPeer,
         agent: AgentSlots,
         slot_id: int,
         start_deadline: float,
@@ -85,7 +85,7 @@
         self.start_deadline = start_deadline
 
 
-class Dispatcher(dispatch_role.DispatchRole):
+class Dispatcher(dispatch_handler.DispatchHandler):
     """The dispatcher of one service.
 
     All state is in memory and is rebuilt from sessions and snapshots after a failover. Calls from
@@ -103,9 +103,9 @@
         self.ledger = ledger.VirtualTimeLedger(self.read_parameters())
         policy = fair_queue.create_policy(policy_name, self.ledger)
         self.queue = fair_queue.FairQueue(policy, self.ledger)
-        self.entries: dict[str, dispatch_role.EntryPeer] = {}
+        self.entries: dict[str, dispatch_handler.EntryPeer] = {}
         # The session that queued each waiting ticket, by ticket id.
-        self.ticket_entries: dict[str, dispatch_role.EntryPeer] = {}
+        self.ticket_entries: dict[str, dispatch_handler.EntryPeer] = {}
         self.agents: dict[str, AgentSlots] = {}
         # Load, latest dispatch and id of each agent that has free slots, in the order of choice.
         self.agent_order: sortedcontainers.SortedList = sortedcontainers.SortedList()
@@ -141,14 +141,14 @@
 
     # Entry sessions
 
-    def open_entry(self, peer: dispatch_role.EntryPeer) -> None:
+    def open_entry(self, peer: dispatch_handler.EntryPeer) -> None:
         """Register an entry's session. Replaces an earlier session of the same entry."""
         previous = self.entries.get(peer.entry_id)
         if previous is not None:
             self.close_entry(previous)
         self.entries[peer.entry_id] = peer
 
-    def close_entry(self, peer: dispatch_role.EntryPeer) -> None:
+    def close_entry(self, peer: dispatch_handler.EntryPeer) -> None:
         """Drop the session's waiting tickets and free the slots of its unsent assignments."""
         if self.entries.get(peer.entry_id) is peer:
             del self.entries[peer.entry_id]
@@ -161,7 +161,7 @@
                 self.release_undelivered(item)
         self.match()
 
-    def enqueue(self, peer: dispatch_role.EntryPeer, ticket: work.Ticket) -> None:
+    def enqueue(self, peer: dispatch_handler.EntryPeer, ticket: work.Ticket) -> None:
         """Queue a ticket. If the ticket was dispatched before, that dispatch is ended."""
         self.end_dispatch(ticket.id)
         previous = self.ticket_entries.get(ticket.id)
@@ -176,7 +176,7 @@
             peer.tickets.add(ticket.id)
             self.match()
 
-    def cancel(self, peer: dispatch_role.EntryPeer, ticket_id: str) -> None:
+    def cancel(self, peer: dispatch_handler.EntryPeer, ticket_id: str) -> None:
         """Remove a waiting ticket of this session.
 
         A ticket that is already assigned is left alone: the entry declines its assignment.
@@ -185,7 +185,7 @@
             self.queue.remove(ticket_id)
             self.detach_ticket(ticket_id)
 
-    def decline(self, declined: dispatch_role.DeclinedSlot) -> None:
+    def decline(self, declined: dispatch_handler.DeclinedSlot) -> None:
         """End the dispatch of a declined assignment, and free its slot if it is still valid."""
         self.declined_slots += 1
         agent = self.agents.get(declined.agent_id)
@@ -206,7 +206,7 @@
     def release_undelivered(self, assignment: work.Assignment) -> None:
         """Free the slot of an assignment that was not sent to its entry."""
         self.decline(
-            dispatch_role.DeclinedSlot(
+            dispatch_handler.DeclinedSlot(
                 ticket_id=assignment.ticket_id,
                 agent_id=assignment.slot.agent_id,
                 agent_incarnation=assignment.slot.agent_incarnation,
@@ -223,7 +223,9 @@
 
     # Agent sessions
 
-    def open_agent(self, peer: dispatch_role.AgentPeer, snapshot: ledger.Snapshot | None) -> bool:
+    def open_agent(
+        self, peer: dispatch_handler.AgentPeer, snapshot: ledger.Snapshot | None
+    ) -> bool:
         """Register an agent's session. Replaces an earlier session of the same agent.
 
         Returns False if a later incarnation of the agent already has a session.
@@ -239,7 +241,7 @@
         self.refresh_available()
         return True
 
-    def close_agent(self, peer: dispatch_role.AgentPeer) -> None:
+    def close_agent(self, peer: dispatch_handler.AgentPeer) -> None:
         """Drop the agent's free slots and end the dispatch of its tickets."""
         agent = self.agents.get(peer.agent_id)
         if agent is None or agent.peer is not peer:
@@ -251,7 +253,7 @@
             self.end_dispatch(ticket_id)
 
     def offer(
-        self, peer: dispatch_role.AgentPeer, slot_ids: tuple[int, ...], deadline: float
+        self, peer: dispatch_handler.AgentPeer, slot_ids: tuple[int, ...], deadline: float
     ) -> None:
         """Add free slots, valid until ``deadline``, and assign them to waiting tickets."""
         agent = self.agents.get(peer.agent_id)
@@ -261,7 +263,7 @@
         self.update_position(agent)
         self.match()
 
-    def retract(self, peer: dispatch_role.AgentPeer) -> None:
+    def retract(self, peer: dispatch_handler.AgentPeer) -> None:
         """Discard every free slot of the agent and return the slot ids to it."""
         agent = self.agents.get(peer.agent_id)
         if agent is None or agent.peer is not peer or not agent.free:
@@ -271,7 +273,9 @@
         self.update_position(agent)
         peer.return_slots(slot_ids)
 
-    def report(self, peer: dispatch_role.AgentPeer, report: dispatch_role.AgentReport) -> None:
+    def report(
+        self, peer: dispatch_handler.AgentPeer, report: dispatch_handler.AgentReport
+    ) -> None:
         """Charge the costs that an agent reports and end the dispatch of finished tickets."""
         agent = self.agents.get(peer.agent_id)
         if agent is None or agent.peer is not peer:
@@ -290,7 +294,7 @@
             self.end_dispatch(ticket_id)
         self.update_position(agent)
 
-    def agent_peers(self) -> list[dispatch_role.AgentPeer]:
+    def agent_peers(self) -> list[dispatch_handler.AgentPeer]:
         """Return the open agent sessions."""
         return [agent.peer for agent in self.agents.values()]
 
--- a/src/masticward/coordination/offers.py
+++ b/src/masticward/coordination/offers.py
@@ -10,7 +10,7 @@
 from masticward import errors, events, logs
 from masticward.coordination import fleet_view, rendezvous
 from masticward.models import membership
-from masticward.protocol import dispatch_client, dispatch_reports, dispatch_role, snapshots
+from masticward.protocol import dispatch_client, dispatch_handler, dispatch_reports, snapshots
 from masticward.transport import channels as channels_module
 from masticward.utils import tasks
 from masticward.wire import masticward_pb2
@@ -224,7 +224,7 @@
         if not counters and not progress and not self.finished and load == self.sent_load:
             return
         message = self.writer.write(
-            dispatch_role.AgentReport(
+            dispatch_handler.AgentReport(
                 counters=counters,
                 progress=progress,
                 finished=self.finished,
@@ -464,7 +464,7 @@
                     receiver,
                     message.base_sequence,
                 )
-                session.link.pass_snapshot(
+                session.link.forward_snapshot(
                     message if can_forward else receiver.write(self.instance.service)
                 )
                 session.forwarded = (receiver, message.sequence)
--- a/src/masticward/coordination/tickets.py
+++ b/src/masticward/coordination/tickets.py
@@ -133,7 +133,7 @@
         """Return whether any ticket waits for an assignment."""
         return bool(self.waiting)
 
-    def on_established(self) -> None:
+    def on_pong(self) -> None:
         """Reset the back-off."""
         self.backoff_seconds = INITIAL_BACKOFF_SECONDS
 
--- a/src/masticward/gateway/peering.py
+++ b/src/masticward/gateway/peering.py
@@ -63,7 +63,7 @@
         self.live = False
         # When the peer's current listing digest was first received.
         self.listing_digest_since = 0.0
-        self.last_report: gateway_peers.PeerFigures | None = None
+        self.last_report: gateway_peers.PeerReport | None = None
 
 
 class Peering(asyncio.DatagramProtocol):
@@ -270,7 +270,7 @@
         if self.transport is not None and len(data) <= gateway_peers.MAXIMUM_DATAGRAM_BYTES:
             self.transport.sendto(data, (ip, self.fleet.settings.peer_port))
 
-    def build_report(self) -> gateway_peers.PeerFigures:
+    def build_report(self) -> gateway_peers.PeerReport:
         """Return the current status report and reset what it covers."""
         fleet = self.fleet
         now = clocks.boot_time()
@@ -284,7 +284,7 @@
         if self.report_rounds % ROUNDS_PER_MEMBER_LIST == 0:
             members = [(peer.instance_id, peer.ip) for peer in self.peers.values()]
         configuration = fleet.configuration
-        return gateway_peers.PeerFigures(
+        return gateway_peers.PeerReport(
             instance_id=fleet.settings.instance_id,
             ip=fleet.settings.ip,
             incarnation=self.incarnation,
@@ -297,7 +297,7 @@
                 for endpoint_id, load in fleet.loads.own.items()
             },
             usage=fleet.usage.reportable_totals(),
-            asked=fleet.demand.reportable_totals(),
+            demand=fleet.demand.reportable_totals(),
             prompts=prompts,
             members=members,
         )
@@ -331,7 +331,7 @@
         self.apply_prompts(changes.prompts)
 
     def apply_report(
-        self, message: gateway_peers.PeerMessage, report: gateway_peers.PeerFigures, now: float
+        self, message: gateway_peers.PeerMessage, report: gateway_peers.PeerReport, now: float
     ) -> None:
         """Apply a peer's complete report."""
         peer = self.add_peer(report.instance_id, report.ip)
@@ -359,7 +359,7 @@
             now,
         )
         fleet.usage.set_peer_usage(peer.instance_id, report.usage, now)
-        fleet.demand.set_peer_usage(peer.instance_id, report.asked, now)
+        fleet.demand.set_peer_usage(peer.instance_id, report.demand, now)
         self.apply_prompts(report.prompts)
         self.apply_proof(message, report, now)
         for instance_id, ip in report.members:
@@ -380,7 +380,7 @@
                 )
 
     def apply_proof(
-        self, message: gateway_peers.PeerMessage, report: gateway_peers.PeerFigures, now: float
+        self, message: gateway_peers.PeerMessage, report: gateway_peers.PeerReport, now: float
     ) -> None:
         """Apply a peer's proof that the configuration in force is the newest one.
 
--- a/src/masticward/protocol/dispatch_client.py
+++ b/src/masticward/protocol/dispatch_client.py
@@ -32,7 +32,7 @@
         """Handle an assigned slot."""
 
     @abc.abstractmethod
-    def on_established(self) -> None:
+    def on_pong(self) -> None:
         """Note that the dispatcher answers."""
 
     @abc.abstractmethod
@@ -244,7 +244,7 @@
 
     def receive_pong(self, pong: masticward_pb2.EntryPong, round_trip_seconds: float) -> None:
         """Note that the dispatcher answers."""
-        self.listener.on_established()
+        self.listener.on_pong()
 
 
 class AgentLink(DispatchLink):
@@ -277,7 +277,7 @@
         message = masticward_pb2.AgentMessage(retract=masticward_pb2.Retract())
         self.outbox.put_nowait(message)
 
-    def pass_snapshot(self, snapshot: masticward_pb2.Snapshot) -> None:
+    def forward_snapshot(self, snapshot: masticward_pb2.Snapshot) -> None:
         """Pass on another dispatcher's snapshot."""
         self.outbox.put_nowait(masticward_pb2.AgentMessage(snapshot=snapshot))
 
--- a/src/masticward/protocol/dispatch_role.py
+++ b/src/masticward/protocol/dispatch_handler.py
@@ -80,7 +80,7 @@
     limit: int
 
 
-class DispatchRole(abc.ABC):
+class DispatchHandler(abc.ABC):
     """The dispatcher of one service as the sessions see it."""
 
     service: str
--- a/src/masticward/protocol/dispatch_reports.py
+++ b/src/masticward/protocol/dispatch_reports.py
@@ -7,7 +7,7 @@
 import collections.abc
 
 from masticward import errors
-from masticward.protocol import dispatch_role
+from masticward.protocol import dispatch_handler
 from masticward.wire import masticward_pb2
 
 
@@ -22,7 +22,7 @@
         self.ticket_numbers: dict[str, int] = {}
         self.next_ticket = 0
 
-    def write(self, report: dispatch_role.AgentReport) -> masticward_pb2.ServiceReport:
+    def write(self, report: dispatch_handler.AgentReport) -> masticward_pb2.ServiceReport:
         """Return the wire form of a report."""
         message = masticward_pb2.ServiceReport(
             running=report.running, staged=report.staged, limit=report.limit
@@ -62,14 +62,14 @@
         self.tickets: dict[int, str] = {}
         self.next_ticket = 0
 
-    def read(self, message: masticward_pb2.ServiceReport) -> dispatch_role.AgentReport:
+    def read(self, message: masticward_pb2.ServiceReport) -> dispatch_handler.AgentReport:
         """Return the report of a message. Raises SessionMessageError on an unknown number."""
         self.teams.extend(message.new_teams)
         for ticket_id in message.new_tickets:
             self.tickets[self.next_ticket] = ticket_id
             self.next_ticket += 1
         try:
-            report = dispatch_role.AgentReport(
+            report = dispatch_handler.AgentReport(
                 counters=pair(self.teams, message.counter_teams, message.counter_totals),
                 progress=pair(self.tickets, message.progress_tickets, message.progress_costs),
                 finished=pair(self.tickets, message.finished_tickets, message.finished_costs),
--- a/src/masticward/protocol/dispatch_server.py
+++ b/src/masticward/protocol/dispatch_server.py
@@ -12,8 +12,8 @@
 from masticward.protocol import (
     dispatch_assignments,
     dispatch_batches,
+    dispatch_handler,
     dispatch_reports,
-    dispatch_role,
     snapshots,
 )
 from masticward.utils import clocks, tasks
@@ -28,7 +28,7 @@
 FULL_SNAPSHOT_SECONDS = 5.0
 # Peers ping every 700 ms; a peer silent for this long is frozen or cut off. One that announces its
 # next ping for later is given the difference, up to a limit.
-SILENCE_SECONDS = 2.0
+SESSION_TIMEOUT_SECONDS = 2.0
 PING_MS = 700
 MAXIMUM_PING_MS = 5000
 SessionContext = typing.Any
@@ -37,7 +37,7 @@
 class DispatchServicer(masticward_pb2_grpc.DispatchServicer):
     """Serves sessions: the handler's task reads, a second task writes."""
 
-    def __init__(self, dispatcher: dispatch_role.DispatchRole) -> None:
+    def __init__(self, dispatcher: dispatch_handler.DispatchHandler) -> None:
         self.dispatcher = dispatcher
         self.sessions = 0
         self.background = tasks.TaskGroup()
@@ -45,7 +45,7 @@
     async def EntrySession(self, request_iterator: object, context: SessionContext) -> None:  # noqa: N802
         """Serve one entry until it closes the stream or falls silent."""
         hello = await self.read_hello(context)
-        peer = dispatch_role.EntryPeer(hello.entry_id, hello.incarnation)
+        peer = dispatch_handler.EntryPeer(hello.entry_id, hello.incarnation)
         self.dispatcher.open_entry(peer)
         LOG.log(events.Event.ENTRY_SESSION_OPENED, entry=peer.entry_id)
         try:
@@ -59,7 +59,7 @@
     async def AgentSession(self, request_iterator: object, context: SessionContext) -> None:  # noqa: N802
         """Serve one agent until it closes the stream or falls silent."""
         hello = await self.read_hello(context)
-        peer = dispatch_role.AgentPeer(
+        peer = dispatch_handler.AgentPeer(
             hello.agent_id, hello.incarnation, hello.peer_address, hello.availability_zone
         )
         stored = (
@@ -83,7 +83,7 @@
 
     async def read_hello(self, context: SessionContext) -> typing.Any:
         """Read the first message, which must be a hello for this dispatcher's service."""
-        async with asyncio.timeout(SILENCE_SECONDS):
+        async with asyncio.timeout(SESSION_TIMEOUT_SECONDS):
             message = await context.read()
         if message is grpc.aio.EOF or message.WhichOneof("message") != "hello":
             await context.abort(
@@ -112,7 +112,7 @@
             await reading
         except TimeoutError:
             await context.abort(
-                grpc.StatusCode.DEADLINE_EXCEEDED, f"no message for {SILENCE_SECONDS} s"
+                grpc.StatusCode.DEADLINE_EXCEEDED, f"no message for {SESSION_TIMEOUT_SECONDS} s"
             )
         finally:
             self.sessions -= 1
@@ -120,9 +120,9 @@
             if self.sessions == 0:
                 await self.background.cancel()
 
-    async def read_entry(self, peer: dispatch_role.EntryPeer, context: SessionContext) -> None:
+    async def read_entry(self, peer: dispatch_handler.EntryPeer, context: SessionContext) -> None:
         """Pass an entry's messages to the dispatcher."""
-        async with asyncio.timeout(SILENCE_SECONDS) as silence:
+        async with asyncio.timeout(SESSION_TIMEOUT_SECONDS) as silence:
             while (message := await context.read()) is not grpc.aio.EOF:
                 for item in dispatch_batches.split(message):
                     self.receive_from_entry(peer, item)
@@ -130,7 +130,7 @@
                         silence.reschedule(latest_ping(item.ping))
 
     def receive_from_entry(
-        self, peer: dispatch_role.EntryPeer, message: masticward_pb2.EntryMessage
+        self, peer: dispatch_handler.EntryPeer, message: masticward_pb2.EntryMessage
     ) -> None:
         """Apply one message of an entry."""
         kind = message.WhichOneof("message")
@@ -149,7 +149,7 @@
             peer.outbox.put_nowait(masticward_pb2.DispatcherToEntry(pong=pong))
 
     def read_ticket(
-        self, peer: dispatch_role.EntryPeer, message: masticward_pb2.Enqueue
+        self, peer: dispatch_handler.EntryPeer, message: masticward_pb2.Enqueue
     ) -> work.Ticket:
         """Return the ticket of a message, with remaining times turned into monotonic times."""
         return work.Ticket(
@@ -163,7 +163,7 @@
             retried=message.retried,
         )
 
-    async def write_entry(self, peer: dispatch_role.EntryPeer, context: SessionContext) -> None:
+    async def write_entry(self, peer: dispatch_handler.EntryPeer, context: SessionContext) -> None:
         """Write assignments and pongs as soon as they are there."""
         assignments = dispatch_assignments.AssignmentWriter()
         while True:
@@ -175,11 +175,11 @@
             ]
             await context.write(dispatch_batches.join(items))
 
-    async def read_agent(self, peer: dispatch_role.AgentPeer, context: SessionContext) -> None:
+    async def read_agent(self, peer: dispatch_handler.AgentPeer, context: SessionContext) -> None:
         """Pass an agent's messages to the dispatcher."""
         reader = dispatch_reports.ReportReader()
         passed = snapshots.SnapshotReceiver()
-        async with asyncio.timeout(SILENCE_SECONDS) as silence:
+        async with asyncio.timeout(SESSION_TIMEOUT_SECONDS) as silence:
             while (message := await context.read()) is not grpc.aio.EOF:
                 for item in dispatch_batches.split(message):
                     try:
@@ -191,7 +191,7 @@
 
     def receive_from_agent(
         self,
-        peer: dispatch_role.AgentPeer,
+        peer: dispatch_handler.AgentPeer,
         message: masticward_pb2.AgentMessage,
         reader: dispatch_reports.ReportReader,
         passed: snapshots.SnapshotReceiver,
@@ -214,7 +214,7 @@
             )
             peer.outbox.put_nowait(masticward_pb2.DispatcherToAgent(pong=pong))
 
-    async def write_agent(self, peer: dispatch_role.AgentPeer, context: SessionContext) -> None:
+    async def write_agent(self, peer: dispatch_handler.AgentPeer, context: SessionContext) -> None:
         """Write pongs, returned slots and snapshots as soon as they are there."""
         while True:
             items = await dispatch_batches.take_ready(peer.outbox)
@@ -239,12 +239,12 @@
 def latest_ping(ping: masticward_pb2.Ping) -> float:
     """Return the time of the loop at which a peer without another ping is given up."""
     later_ms = max(0, min(ping.next_ms, MAXIMUM_PING_MS) - PING_MS)
-    allowed = SILENCE_SECONDS + later_ms / clocks.MILLISECONDS_PER_SECOND
+    allowed = SESSION_TIMEOUT_SECONDS + later_ms / clocks.MILLISECONDS_PER_SECOND
     return asyncio.get_running_loop().time() + allowed
 
 
 def send_snapshot(
-    peer: dispatch_role.AgentPeer, writer: snapshots.SnapshotWriter, now: float
+    peer: dispatch_handler.AgentPeer, writer: snapshots.SnapshotWriter, now: float
 ) -> None:
     """Send the newest snapshot to an agent, in full if it is due."""
     base = peer.snapshot_sequence if now < peer.snapshot_full_due else 0
@@ -257,9 +257,9 @@
     peer.outbox.put_nowait(message)
 
 
-def read_decline(message: masticward_pb2.DeclineSlot) -> dispatch_role.DeclinedSlot:
+def read_decline(message: masticward_pb2.DeclineSlot) -> dispatch_handler.DeclinedSlot:
     """Return the declined slot of a message."""
-    return dispatch_role.DeclinedSlot(
+    return dispatch_handler.DeclinedSlot(
         ticket_id=message.ticket_id,
         agent_id=message.agent_id,
         agent_incarnation=message.agent_incarnation,
--- a/src/masticward/protocol/gateway_peers.py
+++ b/src/masticward/protocol/gateway_peers.py
@@ -9,7 +9,7 @@
 MAXIMUM_DATAGRAM_BYTES = 60_000
 
 
-class PeerFigures(msgspec.Struct, array_like=True, frozen=True, tag="figures"):
+class PeerReport(msgspec.Struct, array_like=True, frozen=True, tag="figures"):
     """What one gateway tells all others at regular times."""
 
     instance_id: str
@@ -27,7 +27,7 @@
     # Team to tokens begun recently.
     usage: dict[str, float]
     # Team to tokens asked for recently, served or not.
-    asked: dict[str, float]
+    demand: dict[str, float]
     # Prompts that were sent to engines since the last messages: endpoint id, prefix keys.
     prompts: list[tuple[str, list[tuple[int, int]]]]
     # Some of the gateways that the sender knows: instance id and IP.
@@ -58,10 +58,10 @@
 
 ENCODER = msgspec.msgpack.Encoder()
 MESSAGE_DECODER = msgspec.msgpack.Decoder(PeerMessage)
-CONTENT_DECODER = msgspec.msgpack.Decoder(PeerFigures | PeerChanges)
+CONTENT_DECODER = msgspec.msgpack.Decoder(PeerReport | PeerChanges)
 
 
-def encode_content(figures: PeerFigures | PeerChanges) -> msgspec.Raw:
+def encode_content(figures: PeerReport | PeerChanges) -> msgspec.Raw:
     """Encode figures once for all receivers."""
     return msgspec.Raw(ENCODER.encode(figures))
 
@@ -71,7 +71,7 @@
     return ENCODER.encode(message)
 
 
-def decode(data: bytes) -> tuple[PeerMessage, PeerFigures | PeerChanges]:
+def decode(data: bytes) -> tuple[PeerMessage, PeerReport | PeerChanges]:
     """Decode one datagram; raises msgspec.DecodeError."""
     message = MESSAGE_DECODER.decode(data)
     return message, CONTENT_DECODER.decode(message.content)
--- a/src/masticward/protocol/snapshots.py
+++ b/src/masticward/protocol/snapshots.py
@@ -11,7 +11,7 @@
 # snapshots less often, and a full one if their base is no longer kept.
 RETAINED_SNAPSHOTS = 8
 # Numbers are given anew once this many are in use beyond those of the present teams and agents.
-SPARE_NUMBERS = 1000
+MAXIMUM_STALE_NUMBERS = 1000
 
 AgentKey = tuple[str, int]
 
@@ -47,7 +47,7 @@
         """Let later messages bring their receivers to this snapshot."""
         content = Content(snapshot)
         used = len(self.team_numbers) + len(self.agent_numbers)
-        if used > len(content.teams) + len(content.agents) + SPARE_NUMBERS:
+        if used > len(content.teams) + len(content.agents) + MAXIMUM_STALE_NUMBERS:
             self.retained.clear()
             self.team_numbers.clear()
             self.agent_numbers.clear()
--- a/tests/functional/test_attempt_client.py
+++ b/tests/functional/test_attempt_client.py
@@ -20,7 +20,7 @@
 class GrpcAttemptClientTest(unittest.IsolatedAsyncioTestCase):
     async def test_whole_response_and_the_request_as_sent(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
-            agent.frames = attempt_fakes.whole_frames()
+            agent.frames = attempt_fakes.complete_frames()
             events = await collect(agent.client, attempt_fakes.build_attempt(agent.address))
             self.assertIsInstance(events[-1], frames.ResponseEnd)
             sent = agent.requests[0]
@@ -32,7 +32,7 @@
 
     async def test_stream_cut_at_every_position_may_have_run(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
-            whole = attempt_fakes.whole_frames()
+            whole = attempt_fakes.complete_frames()
             for position in range(len(whole)):
                 agent.frames = whole[:position]
                 with self.assertRaises(errors.AttemptFailedError):
@@ -95,7 +95,7 @@
 
     async def test_attempt_is_not_sent_twice(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
-            agent.frames = attempt_fakes.whole_frames()
+            agent.frames = attempt_fakes.complete_frames()
             attempt = attempt_fakes.build_attempt(agent.address)
             await collect(agent.client, attempt)
             with self.assertRaises(errors.AttemptFailedError):
@@ -104,17 +104,17 @@
 
     async def test_frames_of_a_cancelled_attempt_do_not_reach_the_next(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
-            agent.frames, agent.hold = attempt_fakes.whole_frames()[:3], True
+            agent.frames, agent.hold = attempt_fakes.complete_frames()[:3], True
             stream = agent.client.run(attempt_fakes.build_attempt(agent.address))
             await anext(stream)
             await stream.aclose()
             await entry_fakes.until(lambda: agent.cancelled)
-            agent.frames, agent.hold = attempt_fakes.whole_frames("a-2", (b"new",)), False
+            agent.frames, agent.hold = attempt_fakes.complete_frames("a-2", (b"new",)), False
             events = await collect(agent.client, attempt_fakes.build_attempt(agent.address, "a-2"))
             self.assertEqual([b"new"], [e.data for e in events if hasattr(e, "data")])
 
     async def test_crossed_frames_may_have_run(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
-            agent.frames = attempt_fakes.whole_frames("a-2")
+            agent.frames = attempt_fakes.complete_frames("a-2")
             with self.assertRaises(errors.AttemptFailedError):
                 await collect(agent.client, attempt_fakes.build_attempt(agent.address))
--- a/tests/functional/test_gateway_snapshots.py
+++ b/tests/functional/test_gateway_snapshots.py
@@ -38,7 +38,7 @@
         self.fetcher = snapshots.SnapshotFetcher(self.fleet, self.peering, self.followers_by_kind)
 
     def receive_report(self, version: int = 5) -> None:
-        report = gateway_peers.PeerFigures(
+        report = gateway_peers.PeerReport(
             instance_id="g2",
             ip="127.0.0.1",
             incarnation=1,
@@ -48,7 +48,7 @@
             listing_digest=self.other.table.digest(),
             loads={},
             usage={},
-            asked={},
+            demand={},
             prompts=[],
             members=[],
         )
--- a/tests/lib/attempt_fakes.py
+++ b/tests/lib/attempt_fakes.py
@@ -49,7 +49,7 @@
     )
 
 
-def whole_frames(
+def complete_frames(
     attempt_id: str = "a-1", parts: collections.abc.Sequence[bytes] = PARTS
 ) -> list[masticward_pb2.RunFrame]:
     """Return all frames of a complete response."""
--- a/tests/lib/dispatch_fleet.py
+++ b/tests/lib/dispatch_fleet.py
@@ -10,7 +10,7 @@
 from masticward.coordination import dispatcher, fleet_view, offers
 from masticward.models import configuration as configuration_models
 from masticward.models import membership, work
-from masticward.protocol import dispatch_role, dispatch_server
+from masticward.protocol import dispatch_handler, dispatch_server
 from masticward.transport import channels
 from masticward.utils import addresses
 from masticward.wire import masticward_pb2_grpc
@@ -227,8 +227,8 @@
             await self.pool.close()
 
 
-def agent_peer(agent_id: str, incarnation: int = 1) -> dispatch_role.AgentPeer:
-    return dispatch_role.AgentPeer(agent_id, incarnation, "127.0.0.1:1", ZONE)
+def agent_peer(agent_id: str, incarnation: int = 1) -> dispatch_handler.AgentPeer:
+    return dispatch_handler.AgentPeer(agent_id, incarnation, "127.0.0.1:1", ZONE)
 
 
 async def wait_until(condition: collections.abc.Callable[[], bool], seconds: float = 10.0) -> bool:
--- a/tests/unit/test_dispatch_batches.py
+++ b/tests/unit/test_dispatch_batches.py
@@ -6,7 +6,7 @@
 import unittest.mock
 
 from masticward.models import work
-from masticward.protocol import dispatch_batches, dispatch_client, dispatch_role, dispatch_server
+from masticward.protocol import dispatch_batches, dispatch_client, dispatch_handler, dispatch_server
 from masticward.wire import masticward_pb2
 from tests.lib import dispatch_fleet
 
@@ -43,7 +43,7 @@
         names = [item.enqueue.ticket_id for item in stream.items()[1:]]
         self.assertEqual([f"t{number}" for number in range(99)], names)
 
-        peer = dispatch_role.EntryPeer("entry-1", 1)
+        peer = dispatch_handler.EntryPeer("entry-1", 1)
         for number in range(10):
             slot = work.Slot(
                 id=number,
--- a/tests/unit/test_dispatch_reports.py
+++ b/tests/unit/test_dispatch_reports.py
@@ -3,14 +3,14 @@
 import unittest
 
 from masticward import errors
-from masticward.protocol import dispatch_reports, dispatch_role
+from masticward.protocol import dispatch_handler, dispatch_reports
 from masticward.wire import masticward_pb2
 
 
 def report(
     counters: dict[str, float], progress: dict[str, float], finished: dict[str, float]
-) -> dispatch_role.AgentReport:
-    return dispatch_role.AgentReport(
+) -> dispatch_handler.AgentReport:
+    return dispatch_handler.AgentReport(
         counters=counters, progress=progress, finished=finished, running=1, staged=2, limit=3
     )
 
@@ -20,7 +20,7 @@
         self.writer = dispatch_reports.ReportWriter()
         self.reader = dispatch_reports.ReportReader()
 
-    def send(self, sent: dispatch_role.AgentReport) -> bytes:
+    def send(self, sent: dispatch_handler.AgentReport) -> bytes:
         wire: bytes = self.writer.write(sent).SerializeToString()
         self.assertEqual(sent, self.reader.read(masticward_pb2.ServiceReport.FromString(wire)))
         return wire
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -6,7 +6,7 @@
 from masticward import settings
 from masticward.coordination import dispatcher as dispatcher_module
 from masticward.models import work
-from masticward.protocol import dispatch_role
+from masticward.protocol import dispatch_handler
 from tests.lib import dispatch_fleet
 
 
@@ -18,15 +18,15 @@
         self.dispatcher = dispatcher_module.Dispatcher(
             self.view, dispatch_fleet.SERVICE, settings.QueuePolicyName.FAIR_SHARE
         )
-        self.entry = dispatch_role.EntryPeer("entry-1", 1)
+        self.entry = dispatch_handler.EntryPeer("entry-1", 1)
         self.dispatcher.open_entry(self.entry)
 
-    def open_agent(self, agent_id: str, incarnation: int = 1) -> dispatch_role.AgentPeer:
+    def open_agent(self, agent_id: str, incarnation: int = 1) -> dispatch_handler.AgentPeer:
         peer = dispatch_fleet.agent_peer(agent_id, incarnation)
         self.assertTrue(self.dispatcher.open_agent(peer, None))
         return peer
 
-    def offer(self, peer: dispatch_role.AgentPeer, *slot_ids: int, seconds: float = 2.0) -> None:
+    def offer(self, peer: dispatch_handler.AgentPeer, *slot_ids: int, seconds: float = 2.0) -> None:
         self.dispatcher.offer(peer, slot_ids, time.monotonic() + seconds)
 
     def enqueue(self, *ticket_ids: str, **changes: object) -> None:
@@ -44,7 +44,7 @@
 
     def decline(self, assignment: work.Assignment, slot_valid: bool) -> None:
         self.dispatcher.decline(
-            dispatch_role.DeclinedSlot(
+            dispatch_handler.DeclinedSlot(
                 ticket_id=assignment.ticket_id,
                 agent_id=assignment.slot.agent_id,
                 agent_incarnation=assignment.slot.agent_incarnation,
@@ -162,7 +162,7 @@
         peer = self.open_agent("agent-1")
         self.offer(peer, 1, 2)
         self.enqueue("t1", "t2")
-        report = dispatch_role.AgentReport(
+        report = dispatch_handler.AgentReport(
             counters={}, progress={"t2": 0.0}, finished={}, running=1, staged=0, limit=2
         )
         self.dispatcher.report(peer, report)
--- a/tests/unit/test_gateway_peering.py
+++ b/tests/unit/test_gateway_peering.py
@@ -37,7 +37,7 @@
         digest: int = 0,
         name: str = "g2",
     ) -> None:
-        report = gateway_peers.PeerFigures(
+        report = gateway_peers.PeerReport(
             instance_id=name,
             ip=f"127.0.0.{name[1:]}",
             incarnation=incarnation,
@@ -47,7 +47,7 @@
             listing_digest=digest,
             loads=loads or {},
             usage={},
-            asked={},
+            demand={},
             prompts=[],
             members=[("g3", "127.0.0.3")],
         )
@@ -296,7 +296,7 @@
         raw = gateway_peers.encode_content(own.build_report())
         message = gateway_peers.PeerMessage(1.0, 2.0, 3, raw)
         _, report = gateway_peers.decode(gateway_peers.encode(message))
-        assert isinstance(report, gateway_peers.PeerFigures)
+        assert isinstance(report, gateway_peers.PeerReport)
         self.assertEqual({"e1": (5, 1, 7)}, report.loads)
         self.assertEqual([("e1", [(2**64 - 1, 10)])], report.prompts)
         await asyncio.sleep(0)
--- a/tests/unit/test_session_pings.py
+++ b/tests/unit/test_session_pings.py
@@ -22,7 +22,7 @@
     def on_assign(self, assignment: work.Assignment) -> None:
         raise AssertionError("nothing is assigned")
 
-    def on_established(self) -> None:
+    def on_pong(self) -> None:
         pass
 
     def has_tickets(self) -> bool:
@@ -114,13 +114,13 @@
             context = unittest.mock.Mock(read=receive)
             await servicer.read_entry(unittest.mock.Mock(), context)
 
-        with unittest.mock.patch.object(dispatch_server, "SILENCE_SECONDS", 0.1):
+        with unittest.mock.patch.object(dispatch_server, "SESSION_TIMEOUT_SECONDS", 0.1):
             await read(5000)
             for silent in ((), (0,), (700,)):
                 with self.assertRaises(TimeoutError):
                     await read(*silent)
         with (
-            unittest.mock.patch.object(dispatch_server, "SILENCE_SECONDS", 0.1),
+            unittest.mock.patch.object(dispatch_server, "SESSION_TIMEOUT_SECONDS", 0.1),
             unittest.mock.patch.object(dispatch_server, "MAXIMUM_PING_MS", 800),
             self.assertRaises(TimeoutError),
         ):
--- a/tests/unit/test_snapshots.py
+++ b/tests/unit/test_snapshots.py
@@ -8,7 +8,7 @@
 
 from masticward import errors, settings
 from masticward.coordination import dispatcher, offers, rendezvous
-from masticward.protocol import dispatch_role, dispatch_server, snapshots
+from masticward.protocol import dispatch_handler, dispatch_server, snapshots
 from masticward.state import ledger
 from masticward.wire import masticward_pb2
 from tests.lib import dispatch_fleet
@@ -55,7 +55,7 @@
     def test_partial_snapshots_reproduce_the_full_snapshot(self) -> None:
         """Guards against lost changes, and removed teams or agents that return with old values."""
         rng = random.Random(5)
-        with unittest.mock.patch.object(snapshots, "SPARE_NUMBERS", 6):
+        with unittest.mock.patch.object(snapshots, "MAXIMUM_STALE_NUMBERS", 6):
             writer = snapshots.SnapshotWriter(dispatch_fleet.SERVICE)
             receivers = {period: snapshots.SnapshotReceiver() for period in (1, 2, 5, 20)}
             partial = 0
@@ -140,7 +140,7 @@
         )
         forwarded: list[masticward_pb2.Snapshot] = []
         session = offers.DispatcherSession(loop, own)
-        session.link = types.SimpleNamespace(pass_snapshot=forwarded.append)
+        session.link = types.SimpleNamespace(forward_snapshot=forwarded.append)
         loop.sessions = {("own", ""): session}
         rng = random.Random(7)
         at_standby = snapshots.SnapshotReceiver()
@@ -191,7 +191,7 @@
             dispatch_fleet.SERVICE,
             settings.QueuePolicyName.FAIR_SHARE,
         )
-        entry = dispatch_role.EntryPeer("entry-1", 1)
+        entry = dispatch_handler.EntryPeer("entry-1", 1)
         role.open_entry(entry)
         for number in range(500):
             role.enqueue(entry, dispatch_fleet.ticket(f"t{number}", f"team-{number}"))
@@ -204,7 +204,7 @@
         for total in range(1, 400):
             if peers[ranked[2]].outbox.qsize() >= 3:
                 break
-            report = dispatch_role.AgentReport(
+            report = dispatch_handler.AgentReport(
                 counters={"team-1": float(total)},
                 progress={},
                 finished={},
