--- a/src/masticward/protocol/__init__.py
+++ b/src/masticward/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The messages between the processes of the system."""
+"""Messages, clients and servers of the protocols between masticward processes."""
--- a/src/masticward/protocol/attempt_client.py
+++ b/src/masticward/protocol/attempt_client.py
@@ -1,4 +1,4 @@
-"""The entry's side of Attempt.Run: one attempt, sent once, as a stream of checked events."""
+"""Client of the Attempt service: sends an attempt once and validates the response stream."""
 
 import abc
 import asyncio
@@ -17,17 +17,18 @@
 from masticward.utils import clocks
 from masticward.wire import masticward_pb2, masticward_pb2_grpc
 
-# The agent closes its stream right after the end frame; a response that is whole waits no longer.
-CLOSE_SECONDS = 1.0
+# The agent closes its stream right after the end frame. A complete response is not delayed longer
+# than this by a stream that stays open.
+STREAM_CLOSE_TIMEOUT_SECONDS = 1.0
 
 logger = logs.get_logger(__name__)
 
 
 class AttemptRequest(msgspec.Struct, kw_only=True):
-    """One attempt of a call on one slot. ``deadline`` is in monotonic seconds.
+    """One attempt to run a call on one slot.
 
-    ``answer_deadline`` bounds how long the client listens; it lies after ``deadline`` if the
-    outcome matters even when the caller no longer waits.
+    ``answer_deadline``, in monotonic seconds, bounds how long the client waits for the response.
+    It is later than ``call.deadline`` if the outcome matters even after the caller stops waiting.
     """
 
     attempt_id: str
@@ -50,15 +51,16 @@
     ) -> collections.abc.AsyncGenerator[frames.AttemptEvent, None]:
         """Send an attempt and yield its events; the last one is ResponseEnd.
 
-        Raises AttemptRefusedError if the call surely did not run, AttemptFailedError if it may
-        have. Closing the generator cancels the attempt.
+        Raises AttemptRefusedError if the call certainly did not run, AttemptFailedError if it may
+        have run. Closing the generator cancels the attempt.
         """
 
 
 class GrpcAttemptClient(AttemptClient):
-    """Sends attempts over the channels to the agents.
+    """Sends attempts to agents over gRPC.
 
-    ``peer_address`` is this entry's own, from which agents fetch versions newer than theirs.
+    ``peer_address`` is the address of this entry, from which agents fetch versions newer than
+    their own.
     """
 
     __slots__ = ("channels", "peer_address")
@@ -84,7 +86,7 @@
             timeout=clocks.remaining_seconds(attempt.answer_deadline),
         )
         try:
-            async for event in checked_events(call, attempt.attempt_id):
+            async for event in validated_events(call, attempt.attempt_id):
                 yield event
         finally:
             call.cancel()
@@ -93,8 +95,8 @@
 async def wait_until_ready(channel: grpc.aio.Channel, attempt: AttemptRequest) -> None:
     """Wait for the channel to connect, at most until the slot or the call expires.
 
-    A call that fails on a channel that was ready may have been received, so the only failure to
-    connect that surely means "not run" is the one seen before the call is made.
+    Raises AttemptRefusedError if it does not. The agent may have received a call that fails on a
+    ready channel, so only a connection failure before the call is made proves that it did not run.
     """
     deadline = min(attempt.slot.deadline, attempt.call.deadline)
     try:
@@ -109,9 +111,9 @@
 
 
 async def connect(channel: grpc.aio.Channel) -> str:
-    """Wait until the channel is ready or a try to connect fails; returns the failure or "".
+    """Wait until the channel is ready or connecting fails; return the reason of failure or "".
 
-    A channel that is found in back-off is given one more try.
+    A channel that is in back-off at the beginning gets one more connection attempt.
     """
     previous = None
     while True:
@@ -126,16 +128,20 @@
         await channel.wait_for_state_change(state)
 
 
-async def checked_events(
+async def validated_events(
     call: typing.Any, attempt_id: str
 ) -> collections.abc.AsyncGenerator[frames.AttemptEvent, None]:
-    """Yield the events of a sent call. Every end but ResponseEnd raises."""
+    """Yield the events of a call after checking its frames.
+
+    Raises AttemptRefusedError on a refusal, AttemptFailedError on every other end of the stream
+    except ResponseEnd.
+    """
     assembler = frames.FrameAssembler(attempt_id)
     try:
         async for frame in call:
             event = assembler.add(frame)
             if assembler.complete:
-                await wait_for_close(call, assembler)
+                await wait_for_stream_end(call, assembler)
             yield event
             if assembler.complete:
                 return
@@ -146,7 +152,7 @@
         detail = f"{error.code().name}: {error.details()}"
         raise errors.AttemptFailedError(detail) from error
     except asyncio.CancelledError:
-        # grpc.aio raises CancelledError also when the channel is closed under the call.
+        # grpc.aio also raises CancelledError if the channel is closed during the call.
         task = asyncio.current_task()
         if task is not None and task.cancelling():
             raise
@@ -154,19 +160,20 @@
     raise errors.AttemptFailedError("the stream ended without its end frame")
 
 
-async def wait_for_close(call: typing.Any, assembler: frames.FrameAssembler) -> None:
-    """Wait until the agent has closed its stream. Raises FrameError for a frame after the end.
+async def wait_for_stream_end(call: typing.Any, assembler: frames.FrameAssembler) -> None:
+    """Wait until the agent has closed its stream. Raises FrameError on a frame after the end.
 
-    Cancelling a call that is whole but not closed would look to the agent like a lost caller.
+    If the call were cancelled between its end frame and its close, the agent would treat the
+    caller as lost.
     """
     with contextlib.suppress(TimeoutError, grpc.aio.AioRpcError):
-        async with asyncio.timeout(CLOSE_SECONDS):
+        async with asyncio.timeout(STREAM_CLOSE_TIMEOUT_SECONDS):
             async for frame in call:
                 assembler.add(frame)
 
 
 def to_wire(attempt: AttemptRequest, peer_address: str) -> masticward_pb2.RunRequest:
-    """Return the wire form of an attempt."""
+    """Return the request message of an attempt."""
     call = attempt.call
     return masticward_pb2.RunRequest(
         attempt_id=attempt.attempt_id,
--- a/src/masticward/protocol/attempt_server.py
+++ b/src/masticward/protocol/attempt_server.py
@@ -1,4 +1,4 @@
-"""The Attempt service of an agent."""
+"""Server of the Attempt service, on an agent."""
 
 import abc
 import collections.abc
@@ -14,17 +14,20 @@
 
 
 class AttemptRunner(abc.ABC):
-    """What the servicer needs of the agent's runner."""
+    """Interface of the agent's endpoint runner to the servicer."""
 
     @abc.abstractmethod
     def run(
         self, request: attempts.AttemptRequest
     ) -> collections.abc.AsyncGenerator[attempts.AttemptEvent, None]:
-        """Run one attempt at most once and yield its events; the last one ends it."""
+        """Run an attempt at most once and yield its events; the last one is its outcome."""
 
 
 class FrameWriter:
-    """Numbers the frames of one attempt and sums up the body for the end frame."""
+    """Encodes the frames of one attempt.
+
+    Numbers the frames and computes the length and digest of the body for the end frame.
+    """
 
     __slots__ = ("attempt_id", "digest", "length", "sequence")
 
@@ -35,14 +38,14 @@
         self.digest = xxhash.xxh3_64()
 
     def frame(self, event: attempts.AttemptEvent) -> masticward_pb2.RunFrame:
-        """Return the next frame."""
+        """Return the event as the next frame."""
         frame = masticward_pb2.RunFrame(attempt_id=self.attempt_id, sequence=self.sequence)
         self.sequence += 1
         self.fill(frame, event)
         return frame
 
     def fill(self, frame: masticward_pb2.RunFrame, event: attempts.AttemptEvent) -> None:
-        """Put the event into the frame."""
+        """Set the frame's content to the event."""
         match event:
             case attempts.Accepted():
                 frame.accepted.SetInParent()
@@ -72,8 +75,9 @@
 class AttemptServicer(masticward_pb2_grpc.AttemptServicer):
     """Streams the frames of attempts.
 
-    Accepted says only that the attempt was taken in: the call runs or waits to start. An entry that
-    loses the stream after it must reckon with a start; a Refused that follows is still true.
+    Accepted means only that the call runs or waits to start. An entry that loses the stream after
+    Accepted must assume that the call may have run. A Refused frame may still follow Accepted and
+    means that the call did not run.
     """
 
     def __init__(self, runner: AttemptRunner) -> None:
@@ -84,10 +88,10 @@
         request: masticward_pb2.RunRequest,
         context: "grpc.aio.ServicerContext[typing.Any, typing.Any]",
     ) -> None:
-        """Run an attempt. If the entry cancels, the stream of events is closed at once.
+        """Run an attempt. If the entry cancels the call, the event stream is closed at once.
 
-        Frames are written here instead of yielded, because grpc does not close a generator whose
-        caller has gone.
+        Frames are written with ``context.write`` instead of yielded, because grpc does not close
+        a generator after its caller has disconnected.
         """
         writer = FrameWriter(request.attempt_id)
         stream = self.runner.run(attempt_request(request))
@@ -97,7 +101,7 @@
 
 
 def attempt_request(request: masticward_pb2.RunRequest) -> attempts.AttemptRequest:
-    """Return the attempt with its deadline on this instance's clock."""
+    """Return the attempt of a request, with its deadline on this instance's monotonic clock."""
     return attempts.AttemptRequest(
         attempt_id=request.attempt_id,
         ticket_id=request.ticket_id,
--- a/src/masticward/protocol/dispatch_assignments.py
+++ b/src/masticward/protocol/dispatch_assignments.py
@@ -1,6 +1,7 @@
-"""Assignments on an entry's session: an agent's identity is sent once and is a number from then on.
+"""Encoding of assignments on an entry's session.
 
-Agent incarnations are numbered from 0 in the order in which they first appear on the session.
+An agent's identity is sent once and replaced by a number in later assignments. Agent incarnations
+are numbered from 0 in the order in which they first appear on the session.
 """
 
 from masticward import errors
@@ -10,7 +11,7 @@
 
 
 class AssignmentWriter:
-    """The dispatcher's end of one session."""
+    """Encodes the assignments of one session, on the dispatcher."""
 
     __slots__ = ("numbers",)
 
@@ -48,7 +49,7 @@
 
 
 class AssignmentReader:
-    """The entry's end of one session."""
+    """Decodes the assignments of one session, on the entry."""
 
     __slots__ = ("agents",)
 
@@ -56,7 +57,10 @@
         self.agents: dict[int, masticward_pb2.AgentIdentity] = {}
 
     def read(self, message: masticward_pb2.Assign) -> work.Assignment:
-        """Return the assignment of a message. Raises SessionMessageError on an unknown number."""
+        """Return the assignment of a message.
+
+        Raises SessionMessageError if the session has not defined the agent's number.
+        """
         if message.HasField("agent"):
             self.agents[message.agent_number] = message.agent
         agent = self.agents.get(message.agent_number)
--- a/src/masticward/protocol/dispatch_client.py
+++ b/src/masticward/protocol/dispatch_client.py
@@ -1,4 +1,4 @@
-"""One session of an entry or an agent with a dispatcher."""
+"""Client side of the Dispatch sessions that entries and agents hold with a dispatcher."""
 
 import abc
 import asyncio
@@ -15,17 +15,18 @@
 from masticward.utils import clocks, tasks
 from masticward.wire import masticward_pb2, masticward_pb2_grpc
 
-# Two pings fit into the time after which a silent dispatcher is left; each costs both sides 0.5 ms.
-PING_SECONDS = 0.7
-# Period of a session that nobody waits for, which saves two of three pings. A dispatcher that is
-# lost meanwhile is noticed 1.5 s after the first ticket, as if it had been lost at that moment.
-IDLE_PING_SECONDS = 2.1
-# Three pings: a dispatcher that answers none of them is frozen or cut off.
+# Two periods fit into PONG_TIMEOUT_SECONDS; each ping costs both sides 0.5 ms.
+PING_PERIOD_SECONDS = 0.7
+# Period while no ticket waits, which saves two of three pings. If the dispatcher fails in the
+# meantime, this is detected 1.5 s after the next ticket, as if it had failed at that moment.
+IDLE_PING_PERIOD_SECONDS = 2.1
+# Covers three pings (0 s, 0.7 s and 1.4 s): a dispatcher that answers none of them is frozen or
+# unreachable.
 PONG_TIMEOUT_SECONDS = 1.5
 
 
 class EntryListener(abc.ABC):
-    """Receives what a dispatcher sends to an entry."""
+    """Handles the messages of a dispatcher to an entry."""
 
     @abc.abstractmethod
     def on_assign(self, assignment: work.Assignment) -> None:
@@ -33,19 +34,19 @@
 
     @abc.abstractmethod
     def on_pong(self) -> None:
-        """Note that the dispatcher answers."""
+        """Handle an answered ping: the dispatcher is reachable."""
 
     @abc.abstractmethod
     def has_tickets(self) -> bool:
-        """Tell whether tickets wait for the dispatcher, so that its loss must be noticed soon."""
+        """Return whether tickets wait at the dispatcher, so that its failure matters at once."""
 
 
 class AgentListener(abc.ABC):
-    """Receives what a dispatcher sends to an agent."""
+    """Handles the messages of a dispatcher to an agent."""
 
     @abc.abstractmethod
     def on_pong(self, waiting: int, round_trip_seconds: float) -> None:
-        """Handle the number of tickets that wait at the dispatcher."""
+        """Handle an answered ping with the number of tickets that wait at the dispatcher."""
 
     @abc.abstractmethod
     def on_snapshot(self, message: masticward_pb2.Snapshot) -> None:
@@ -53,11 +54,11 @@
 
     @abc.abstractmethod
     def on_returned(self, slot_ids: tuple[int, ...]) -> None:
-        """Take back slots that were discarded without being assigned."""
+        """Handle slots that the dispatcher discarded without assigning them."""
 
 
 class DispatchLink(abc.ABC):
-    """A session: the caller's task reads, one task writes and one pings."""
+    """Client of one session. The caller's task reads, a second one writes and a third one pings."""
 
     def __init__(self, channels: channels_module.ChannelPool, address: str) -> None:
         self.channels = channels
@@ -65,15 +66,15 @@
         self.outbox: asyncio.Queue[typing.Any] = asyncio.Queue()
         self.established = False
         self.ping_sent_at: dict[int, float] = {}
-        self.hurried = asyncio.Event()
-        # How much longer than usual the next ping may be away.
-        self.ping_delay_seconds = 0.0
-        self.silence: asyncio.Timeout | None = None
+        self.ping_requested = asyncio.Event()
+        # Time beyond PING_PERIOD_SECONDS until the next ping; extends the pong timeout.
+        self.extra_ping_delay_seconds = 0.0
+        self.pong_timeout: asyncio.Timeout | None = None
 
     async def run(self) -> None:
         """Exchange messages until cancelled.
 
-        Raises PeerUnavailableError if the stream broke or no pong came for 1.5 s.
+        Raises PeerUnavailableError if the stream breaks or no pong arrives for 1.5 s.
         """
         group = tasks.TaskGroup()
         channel = self.channels.get(self.address)
@@ -100,28 +101,28 @@
             await group.cancel()
 
     async def read(self, call: typing.Any) -> None:
-        """Handle messages; only a pong extends the session's time."""
+        """Handle messages until the stream ends. Only a pong extends the pong timeout."""
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(PONG_TIMEOUT_SECONDS) as self.silence:
+            async with asyncio.timeout(PONG_TIMEOUT_SECONDS) as self.pong_timeout:
                 while (message := await call.read()) is not grpc.aio.EOF:
                     for item in dispatch_batches.split(message):
                         sequence = self.receive(item)
                         if sequence is None:
                             continue
-                        allowed = PONG_TIMEOUT_SECONDS + self.ping_delay_seconds
-                        self.silence.reschedule(loop.time() + allowed)
+                        timeout_seconds = PONG_TIMEOUT_SECONDS + self.extra_ping_delay_seconds
+                        self.pong_timeout.reschedule(loop.time() + timeout_seconds)
                         sent_at = self.ping_sent_at.pop(sequence, None)
                         if sent_at is not None:
                             self.established = True
                             self.receive_pong(item.pong, time.monotonic() - sent_at)
         finally:
-            self.silence = None
+            self.pong_timeout = None
         raise errors.PeerUnavailableError(f"{self.address} ended the session")
 
     async def write(self, call: typing.Any) -> None:
-        """Write messages as soon as they are there; the reader reports a broken stream."""
-        # The server reads hello on its own, so it shares no message with others.
+        """Write messages from the outbox, in batches. A broken stream is reported by ``read``."""
+        # The server expects hello as a message of its own, so it is not batched with others.
         items = [await self.outbox.get()]
         while True:
             try:
@@ -131,13 +132,13 @@
             items = await dispatch_batches.take_ready(self.outbox)
 
     async def ping(self) -> None:
-        """Ping at once and then periodically, less often while nobody waits for the session."""
+        """Ping at once and then periodically, at a longer period while the session is idle."""
         sequence = 0
         while True:
             sequence += 1
-            period = IDLE_PING_SECONDS if self.is_idle() else PING_SECONDS
-            self.ping_delay_seconds = max(0.0, period - PING_SECONDS)
-            self.hurried.clear()
+            period = IDLE_PING_PERIOD_SECONDS if self.is_idle() else PING_PERIOD_SECONDS
+            self.extra_ping_delay_seconds = max(0.0, period - PING_PERIOD_SECONDS)
+            self.ping_requested.clear()
             self.ping_sent_at[sequence] = time.monotonic()
             ping = masticward_pb2.Ping(
                 sequence=sequence, next_ms=int(period * clocks.MILLISECONDS_PER_SECOND)
@@ -145,41 +146,41 @@
             self.outbox.put_nowait(self.ping_message(ping))
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(period):
-                    await self.hurried.wait()
+                    await self.ping_requested.wait()
 
-    def hurry(self) -> None:
-        """Ping at once if the next ping is far away, and expect its pong within the usual time."""
-        if not self.ping_delay_seconds:
+    def request_ping(self) -> None:
+        """Ping at once if the idle period is in effect, and restore the normal pong timeout."""
+        if not self.extra_ping_delay_seconds:
             return
-        self.ping_delay_seconds = 0.0
-        self.hurried.set()
-        if self.silence is not None and not self.silence.expired():
+        self.extra_ping_delay_seconds = 0.0
+        self.ping_requested.set()
+        if self.pong_timeout is not None and not self.pong_timeout.expired():
             latest = asyncio.get_running_loop().time() + PONG_TIMEOUT_SECONDS
-            self.silence.reschedule(min(latest, self.silence.when() or latest))
+            self.pong_timeout.reschedule(min(latest, self.pong_timeout.when() or latest))
 
     def is_idle(self) -> bool:
-        """Tell whether nobody waits for the session, so that its loss may be noticed later."""
+        """Return whether a failure of the dispatcher may be detected later than usual."""
         return False
 
     @abc.abstractmethod
     def open_call(self, stub: typing.Any, metadata: tuple[tuple[str, str], ...]) -> typing.Any:
-        """Open the stream."""
+        """Open the session's stream."""
 
     @abc.abstractmethod
     def ping_message(self, ping: masticward_pb2.Ping) -> typing.Any:
-        """Return a message with the ping."""
+        """Return the ping as a message of the session."""
 
     @abc.abstractmethod
     def receive(self, message: typing.Any) -> int | None:
-        """Handle one message; return its sequence if it is a pong."""
+        """Handle one message. Return the sequence number if it is a pong, otherwise None."""
 
     @abc.abstractmethod
     def receive_pong(self, pong: typing.Any, round_trip_seconds: float) -> None:
-        """Handle a pong and the time since its ping."""
+        """Handle a pong; the round trip is the time since its ping."""
 
 
 class EntryLink(DispatchLink):
-    """A session of an entry."""
+    """Client of an entry's session."""
 
     def __init__(
         self,
@@ -205,19 +206,22 @@
             retried=ticket.retried,
         )
         self.outbox.put_nowait(masticward_pb2.EntryMessage(enqueue=message))
-        self.hurry()
+        self.request_ping()
 
     def is_idle(self) -> bool:
-        """Tell whether no ticket waits at the dispatcher."""
+        """Return whether no ticket waits at the dispatcher."""
         return not self.listener.has_tickets()
 
     def cancel(self, ticket_id: str) -> None:
-        """Withdraw a ticket."""
+        """Cancel a ticket that is queued at the dispatcher."""
         message = masticward_pb2.CancelTicket(ticket_id=ticket_id)
         self.outbox.put_nowait(masticward_pb2.EntryMessage(cancel=message))
 
     def decline(self, assignment: work.Assignment, slot_valid: bool) -> None:
-        """Give an assigned slot back."""
+        """Return an assigned slot that the ticket does not use.
+
+        ``slot_valid`` is False if the agent refused the slot, so that it is not assigned again.
+        """
         message = masticward_pb2.DeclineSlot(
             ticket_id=assignment.ticket_id,
             agent_id=assignment.slot.agent_id,
@@ -232,23 +236,23 @@
         return stub.EntrySession(metadata=metadata)
 
     def ping_message(self, ping: masticward_pb2.Ping) -> masticward_pb2.EntryMessage:
-        """Return an entry's ping."""
+        """Return the ping as an entry's message."""
         return masticward_pb2.EntryMessage(ping=ping)
 
     def receive(self, message: masticward_pb2.DispatcherToEntry) -> int | None:
-        """Pass assignments on."""
+        """Pass an assignment to the listener; return the sequence number of a pong."""
         if message.HasField("assign"):
             self.listener.on_assign(self.assignments.read(message.assign))
             return None
         return message.pong.sequence if message.HasField("pong") else None
 
     def receive_pong(self, pong: masticward_pb2.EntryPong, round_trip_seconds: float) -> None:
-        """Note that the dispatcher answers."""
+        """Notify the listener of a pong."""
         self.listener.on_pong()
 
 
 class AgentLink(DispatchLink):
-    """A session of an agent."""
+    """Client of an agent's session."""
 
     def __init__(
         self,
@@ -269,16 +273,16 @@
         self.outbox.put_nowait(masticward_pb2.AgentMessage(offer=message))
 
     def report(self, message: masticward_pb2.ServiceReport) -> None:
-        """Report rendered service."""
+        """Send a report of provided service."""
         self.outbox.put_nowait(masticward_pb2.AgentMessage(report=message))
 
     def retract(self) -> None:
-        """Withdraw every slot that was not assigned."""
+        """Withdraw all offered slots that are not assigned."""
         message = masticward_pb2.AgentMessage(retract=masticward_pb2.Retract())
         self.outbox.put_nowait(message)
 
     def forward_snapshot(self, snapshot: masticward_pb2.Snapshot) -> None:
-        """Pass on another dispatcher's snapshot."""
+        """Forward a snapshot of another dispatcher."""
         self.outbox.put_nowait(masticward_pb2.AgentMessage(snapshot=snapshot))
 
     def open_call(self, stub: typing.Any, metadata: tuple[tuple[str, str], ...]) -> typing.Any:
@@ -286,11 +290,11 @@
         return stub.AgentSession(metadata=metadata)
 
     def ping_message(self, ping: masticward_pb2.Ping) -> masticward_pb2.AgentMessage:
-        """Return an agent's ping."""
+        """Return the ping as an agent's message."""
         return masticward_pb2.AgentMessage(ping=ping)
 
     def receive(self, message: masticward_pb2.DispatcherToAgent) -> int | None:
-        """Pass snapshots and returned slots on."""
+        """Pass a snapshot or returned slots to the listener; return the sequence of a pong."""
         if message.HasField("snapshot"):
             self.listener.on_snapshot(message.snapshot)
         elif message.HasField("returned"):
@@ -298,5 +302,5 @@
         return message.pong.sequence if message.HasField("pong") else None
 
     def receive_pong(self, pong: masticward_pb2.AgentPong, round_trip_seconds: float) -> None:
-        """Pass the dispatcher's queue length and the round-trip time on."""
+        """Pass the dispatcher's queue length and the round-trip time to the listener."""
         self.listener.on_pong(pong.waiting, round_trip_seconds)
--- a/src/masticward/protocol/dispatch_handler.py
+++ b/src/masticward/protocol/dispatch_handler.py
@@ -1,4 +1,7 @@
-"""What the Dispatch servicer needs from the dispatcher of a service. Deadlines are monotonic."""
+"""Interface between the Dispatch servicer and the dispatcher of a service.
+
+Deadlines are in seconds on the monotonic clock.
+"""
 
 import abc
 import asyncio
@@ -12,7 +15,11 @@
 
 
 class EntryPeer:
-    """One session of an entry. ``outbox`` holds assignments and messages not yet written."""
+    """One entry's session with the dispatcher.
+
+    ``outbox`` holds assignments and messages that are not yet written to the stream, ``tickets``
+    the ids of the entry's waiting tickets.
+    """
 
     __slots__ = ("entry_id", "incarnation", "outbox", "tickets")
 
@@ -26,16 +33,19 @@
 
 
 class AgentPeer:
-    """One session of an agent incarnation. ``outbox`` holds messages not yet written."""
+    """One agent incarnation's session with the dispatcher.
+
+    ``outbox`` holds messages that are not yet written to the stream.
+    """
 
     __slots__ = (
         "address",
         "agent_id",
         "availability_zone",
         "incarnation",
+        "next_full_snapshot_at",
+        "next_snapshot_at",
         "outbox",
-        "snapshot_due",
-        "snapshot_full_due",
         "snapshot_sequence",
     )
 
@@ -47,20 +57,21 @@
         self.address = address
         self.availability_zone = availability_zone
         self.outbox: asyncio.Queue[masticward_pb2.DispatcherToAgent] = asyncio.Queue()
-        # Monotonic seconds before which the agent gets no further snapshot.
-        self.snapshot_due = 0.0
-        # The snapshot that the agent has, 0 if none, and when it gets the next full one.
+        # Monotonic seconds before which an agent that is no candidate gets no further snapshot.
+        self.next_snapshot_at = 0.0
+        # Sequence of the last snapshot sent, 0 if none.
         self.snapshot_sequence = 0
-        self.snapshot_full_due = 0.0
+        # Monotonic seconds from which the next snapshot is sent in full.
+        self.next_full_snapshot_at = 0.0
 
     def return_slots(self, slot_ids: list[int]) -> None:
-        """Tell the agent that slots were discarded without being assigned."""
+        """Send back slots that were discarded without being assigned."""
         returned = masticward_pb2.ReturnedSlots(slot_ids=slot_ids)
         self.outbox.put_nowait(masticward_pb2.DispatcherToAgent(returned=returned))
 
 
 class DeclinedSlot(msgspec.Struct, frozen=True, kw_only=True):
-    """An assigned slot that the entry does not use; it may be used again if it is valid."""
+    """An assigned slot that the entry does not use; it may be assigned again if it is valid."""
 
     ticket_id: str
     agent_id: str
@@ -70,10 +81,13 @@
 
 
 class AgentReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an agent rendered, in cost units, and its load in calls."""
+    """Service that an agent provided, in cost units, and its load in calls."""
 
+    # By team: total since the start of the agent's incarnation.
     counters: dict[str, float]
+    # By id of a running ticket: cost so far.
     progress: dict[str, float]
+    # By id of a finished ticket: cost of the whole call.
     finished: dict[str, float]
     running: int
     staged: int
@@ -81,17 +95,17 @@
 
 
 class DispatchHandler(abc.ABC):
-    """The dispatcher of one service as the sessions see it."""
+    """Handles the sessions of entries and agents with the dispatcher of one service."""
 
     service: str
 
     @abc.abstractmethod
     def open_entry(self, peer: EntryPeer) -> None:
-        """Accept an entry's session."""
+        """Register an entry's session."""
 
     @abc.abstractmethod
     def close_entry(self, peer: EntryPeer) -> None:
-        """Drop the tickets of a lost entry session and use its undelivered slots again."""
+        """Drop a closed session's waiting tickets and free the slots of its unsent assignments."""
 
     @abc.abstractmethod
     def enqueue(self, peer: EntryPeer, ticket: work.Ticket) -> None:
@@ -99,43 +113,46 @@
 
     @abc.abstractmethod
     def cancel(self, peer: EntryPeer, ticket_id: str) -> None:
-        """Forget a ticket; one that is assigned already is declined by the entry."""
+        """Remove a waiting ticket; if it has a slot already, the entry declines the slot."""
 
     @abc.abstractmethod
     def decline(self, declined: DeclinedSlot) -> None:
-        """Take back a slot that its entry does not use."""
+        """Release an assigned slot that its entry does not use."""
 
     @abc.abstractmethod
     def open_agent(self, peer: AgentPeer, snapshot: ledger.Snapshot | None) -> bool:
-        """Accept an agent's session; False if a later incarnation has one already."""
+        """Register an agent's session; return False if a later incarnation already has one.
+
+        ``snapshot`` is the one that the agent has stored, if any.
+        """
 
     @abc.abstractmethod
     def close_agent(self, peer: AgentPeer) -> None:
-        """Drop the free slots and end the reservations of a lost agent session."""
+        """Drop the free slots and end the reservations of a closed agent session."""
 
     @abc.abstractmethod
     def offer(self, peer: AgentPeer, slot_ids: tuple[int, ...], deadline: float) -> None:
-        """Add free slots."""
+        """Add free slots, which expire at the deadline."""
 
     @abc.abstractmethod
     def retract(self, peer: AgentPeer) -> None:
-        """Discard and return every free slot of the agent."""
+        """Discard the free slots of the agent and send them back."""
 
     @abc.abstractmethod
     def report(self, peer: AgentPeer, report: AgentReport) -> None:
-        """Charge what an agent rendered."""
+        """Charge teams for the service that an agent provided."""
 
     @abc.abstractmethod
     def offer_snapshot(self, snapshot: ledger.Snapshot) -> None:
-        """Consider a snapshot of another dispatcher of the service."""
+        """Adopt another dispatcher's snapshot if it includes more service than is recorded here."""
 
     @abc.abstractmethod
     def tick(self) -> None:
-        """Discard what has expired and follow changes of the view; called every 100 ms."""
+        """Discard expired state and apply changes of the fleet view; called every 100 ms."""
 
     @abc.abstractmethod
     def take_snapshot(self) -> ledger.Snapshot | None:
-        """Return a snapshot for the agents if something changed since the last call."""
+        """Return a snapshot for the agents, None if nothing has changed since the last call."""
 
     @abc.abstractmethod
     def agent_peers(self) -> list[AgentPeer]:
@@ -143,18 +160,18 @@
 
     @abc.abstractmethod
     def candidates(self) -> frozenset[str]:
-        """Return the ids of the agents that take over if this dispatcher is lost."""
+        """Return the ids of the agents that may replace this dispatcher if it fails."""
 
     @property
     @abc.abstractmethod
     def waiting(self) -> int:
-        """The number of waiting tickets."""
+        """Return the number of waiting tickets."""
 
     @property
     @abc.abstractmethod
     def free_slots(self) -> int:
-        """The number of free slots."""
+        """Return the number of free slots."""
 
     @abc.abstractmethod
     def status(self) -> dict[str, typing.Any]:
-        """Return figures for operators."""
+        """Return the dispatcher's state for the admin interface."""
--- a/src/masticward/protocol/dispatch_reports.py
+++ b/src/masticward/protocol/dispatch_reports.py
@@ -1,6 +1,7 @@
-"""Service reports on an agent's session: names are sent once and are numbers from then on.
+"""Encoding of service reports on an agent's session.
 
-Both ends number the names in the order in which they first appear on the session, from 0. A new
+The name of a team or ticket is sent once and replaced by a number in later reports. Both sides
+number teams and tickets from 0 in the order in which they first appear on the session. A new
 session starts with empty tables.
 """
 
@@ -12,13 +13,13 @@
 
 
 class ReportWriter:
-    """The agent's end of one session."""
+    """Encodes the service reports of one session, on the agent."""
 
     __slots__ = ("next_ticket", "team_numbers", "ticket_numbers")
 
     def __init__(self) -> None:
         self.team_numbers: dict[str, int] = {}
-        # Only tickets that have not finished.
+        # Contains only unfinished tickets, so that it does not grow with the session.
         self.ticket_numbers: dict[str, int] = {}
         self.next_ticket = 0
 
@@ -34,16 +35,16 @@
             message.counter_teams.append(self.team_numbers[team])
             message.counter_totals.append(total)
         for ticket_id, cost in report.progress.items():
-            message.progress_tickets.append(self.number_of(ticket_id, message))
+            message.progress_tickets.append(self.ticket_number(ticket_id, message))
             message.progress_costs.append(cost)
         for ticket_id, cost in report.finished.items():
-            message.finished_tickets.append(self.number_of(ticket_id, message))
+            message.finished_tickets.append(self.ticket_number(ticket_id, message))
             message.finished_costs.append(cost)
             del self.ticket_numbers[ticket_id]
         return message
 
-    def number_of(self, ticket_id: str, message: masticward_pb2.ServiceReport) -> int:
-        """Return the number of a ticket; a new one is named in the message."""
+    def ticket_number(self, ticket_id: str, message: masticward_pb2.ServiceReport) -> int:
+        """Return the number of a ticket; add the id of a new ticket to the message."""
         number = self.ticket_numbers.get(ticket_id)
         if number is None:
             number = self.ticket_numbers[ticket_id] = self.next_ticket
@@ -53,7 +54,7 @@
 
 
 class ReportReader:
-    """The dispatcher's end of one session."""
+    """Decodes the service reports of one session, on the dispatcher."""
 
     __slots__ = ("next_ticket", "teams", "tickets")
 
@@ -63,16 +64,23 @@
         self.next_ticket = 0
 
     def read(self, message: masticward_pb2.ServiceReport) -> dispatch_handler.AgentReport:
-        """Return the report of a message. Raises SessionMessageError on an unknown number."""
+        """Return the report of a message.
+
+        Raises SessionMessageError on undefined numbers and on lists of different lengths.
+        """
         self.teams.extend(message.new_teams)
         for ticket_id in message.new_tickets:
             self.tickets[self.next_ticket] = ticket_id
             self.next_ticket += 1
         try:
             report = dispatch_handler.AgentReport(
-                counters=pair(self.teams, message.counter_teams, message.counter_totals),
-                progress=pair(self.tickets, message.progress_tickets, message.progress_costs),
-                finished=pair(self.tickets, message.finished_tickets, message.finished_costs),
+                counters=values_by_name(self.teams, message.counter_teams, message.counter_totals),
+                progress=values_by_name(
+                    self.tickets, message.progress_tickets, message.progress_costs
+                ),
+                finished=values_by_name(
+                    self.tickets, message.finished_tickets, message.finished_costs
+                ),
                 running=message.running,
                 staged=message.staged,
                 limit=message.limit,
@@ -84,10 +92,13 @@
         return report
 
 
-def pair(
+def values_by_name(
     names: list[str] | dict[int, str],
     numbers: collections.abc.Iterable[int],
     values: collections.abc.Iterable[float],
 ) -> dict[str, float]:
-    """Return values by name. Raises LookupError or ValueError if they do not fit together."""
+    """Return values by name.
+
+    Raises LookupError on an undefined number, ValueError if the lengths differ.
+    """
     return {names[number]: value for number, value in zip(numbers, values, strict=True)}
--- a/src/masticward/protocol/dispatch_server.py
+++ b/src/masticward/protocol/dispatch_server.py
@@ -1,4 +1,4 @@
-"""The Dispatch servicer: sessions of entries and agents with the dispatcher of this process."""
+"""Server side of the Dispatch sessions of entries and agents with this process's dispatcher."""
 
 import asyncio
 import time
@@ -19,23 +19,24 @@
 from masticward.utils import clocks, tasks
 from masticward.wire import masticward_pb2, masticward_pb2_grpc
 
-LOG = logs.get_logger(__name__)
-SNAPSHOT_SECONDS = 0.5
-# Agents that are not next in line get a large snapshot less often, so that it stays within their
-# control traffic of 14 KB per second. An older one is as consistent: counters since then are added.
+logger = logs.get_logger(__name__)
+SNAPSHOT_PERIOD_SECONDS = 0.5
+# Agents that are no candidates to replace the dispatcher get large snapshots less often, so that
+# snapshots stay within an agent's control traffic of 14 KB per second. An older snapshot is equally
+# consistent, because the service that the agents have counted since then is added to it.
 SNAPSHOT_BYTES_PER_SECOND = 4000.0
-# An agent that lost the base of its partial snapshots waits at most this long for a full one.
-FULL_SNAPSHOT_SECONDS = 5.0
-# Peers ping every 700 ms; a peer silent for this long is frozen or cut off. One that announces its
-# next ping for later is given the difference, up to a limit.
+# Limits how long an agent without the base of its partial snapshots waits for a full one.
+FULL_SNAPSHOT_PERIOD_SECONDS = 5.0
+# Peers ping every 700 ms; a peer that sends no ping for this long is frozen or unreachable. If a
+# ping announces a longer period, the timeout is extended by the difference, up to a limit.
 SESSION_TIMEOUT_SECONDS = 2.0
-PING_MS = 700
-MAXIMUM_PING_MS = 5000
+PING_PERIOD_MS = 700
+MAXIMUM_PING_PERIOD_MS = 5000
 SessionContext = typing.Any
 
 
 class DispatchServicer(masticward_pb2_grpc.DispatchServicer):
-    """Serves sessions: the handler's task reads, a second task writes."""
+    """Serves sessions. The task of the gRPC handler reads, a second task writes."""
 
     def __init__(self, dispatcher: dispatch_handler.DispatchHandler) -> None:
         self.dispatcher = dispatcher
@@ -43,21 +44,21 @@
         self.background = tasks.TaskGroup()
 
     async def EntrySession(self, request_iterator: object, context: SessionContext) -> None:  # noqa: N802
-        """Serve one entry until it closes the stream or falls silent."""
+        """Serve one entry until it closes the stream or times out."""
         hello = await self.read_hello(context)
         peer = dispatch_handler.EntryPeer(hello.entry_id, hello.incarnation)
         self.dispatcher.open_entry(peer)
-        LOG.log(events.Event.ENTRY_SESSION_OPENED, entry=peer.entry_id)
+        logger.log(events.Event.ENTRY_SESSION_OPENED, entry=peer.entry_id)
         try:
             await self.serve(
                 context, self.write_entry(peer, context), self.read_entry(peer, context)
             )
         finally:
             self.dispatcher.close_entry(peer)
-            LOG.log(events.Event.ENTRY_SESSION_CLOSED, entry=peer.entry_id)
+            logger.log(events.Event.ENTRY_SESSION_CLOSED, entry=peer.entry_id)
 
     async def AgentSession(self, request_iterator: object, context: SessionContext) -> None:  # noqa: N802
-        """Serve one agent until it closes the stream or falls silent."""
+        """Serve one agent until it closes the stream or times out."""
         hello = await self.read_hello(context)
         peer = dispatch_handler.AgentPeer(
             hello.agent_id, hello.incarnation, hello.peer_address, hello.availability_zone
@@ -72,14 +73,14 @@
                 grpc.StatusCode.FAILED_PRECONDITION,
                 f"a later incarnation of agent {peer.agent_id!r} has a session",
             )
-        LOG.log(events.Event.AGENT_SESSION_OPENED, agent=peer.agent_id)
+        logger.log(events.Event.AGENT_SESSION_OPENED, agent=peer.agent_id)
         try:
             await self.serve(
                 context, self.write_agent(peer, context), self.read_agent(peer, context)
             )
         finally:
             self.dispatcher.close_agent(peer)
-            LOG.log(events.Event.AGENT_SESSION_CLOSED, agent=peer.agent_id)
+            logger.log(events.Event.AGENT_SESSION_CLOSED, agent=peer.agent_id)
 
     async def read_hello(self, context: SessionContext) -> typing.Any:
         """Read the first message, which must be a hello for this dispatcher's service."""
@@ -103,7 +104,7 @@
         writing: typing.Coroutine[typing.Any, typing.Any, None],
         reading: typing.Coroutine[typing.Any, typing.Any, None],
     ) -> None:
-        """Run both directions of a session until the reading one ends."""
+        """Run both directions of a session until reading ends."""
         self.sessions += 1
         if self.sessions == 1:
             self.background.spawn(self.send_snapshots(), "dispatcher-snapshots")
@@ -122,12 +123,12 @@
 
     async def read_entry(self, peer: dispatch_handler.EntryPeer, context: SessionContext) -> None:
         """Pass an entry's messages to the dispatcher."""
-        async with asyncio.timeout(SESSION_TIMEOUT_SECONDS) as silence:
+        async with asyncio.timeout(SESSION_TIMEOUT_SECONDS) as session_timeout:
             while (message := await context.read()) is not grpc.aio.EOF:
                 for item in dispatch_batches.split(message):
                     self.receive_from_entry(peer, item)
                     if item.HasField("ping"):
-                        silence.reschedule(latest_ping(item.ping))
+                        session_timeout.reschedule(session_deadline(item.ping))
 
     def receive_from_entry(
         self, peer: dispatch_handler.EntryPeer, message: masticward_pb2.EntryMessage
@@ -151,7 +152,7 @@
     def read_ticket(
         self, peer: dispatch_handler.EntryPeer, message: masticward_pb2.Enqueue
     ) -> work.Ticket:
-        """Return the ticket of a message, with remaining times turned into monotonic times."""
+        """Return the ticket of a message, with its durations converted to monotonic times."""
         return work.Ticket(
             id=message.ticket_id,
             team=message.team,
@@ -164,7 +165,7 @@
         )
 
     async def write_entry(self, peer: dispatch_handler.EntryPeer, context: SessionContext) -> None:
-        """Write assignments and pongs as soon as they are there."""
+        """Write assignments and pongs from the peer's outbox, in batches."""
         assignments = dispatch_assignments.AssignmentWriter()
         while True:
             items = [
@@ -178,25 +179,25 @@
     async def read_agent(self, peer: dispatch_handler.AgentPeer, context: SessionContext) -> None:
         """Pass an agent's messages to the dispatcher."""
         reader = dispatch_reports.ReportReader()
-        passed = snapshots.SnapshotReceiver()
-        async with asyncio.timeout(SESSION_TIMEOUT_SECONDS) as silence:
+        forwarded = snapshots.SnapshotReceiver()
+        async with asyncio.timeout(SESSION_TIMEOUT_SECONDS) as session_timeout:
             while (message := await context.read()) is not grpc.aio.EOF:
                 for item in dispatch_batches.split(message):
                     try:
-                        self.receive_from_agent(peer, item, reader, passed)
+                        self.receive_from_agent(peer, item, reader, forwarded)
                     except errors.SessionMessageError as error:
                         await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
                     if item.HasField("ping"):
-                        silence.reschedule(latest_ping(item.ping))
+                        session_timeout.reschedule(session_deadline(item.ping))
 
     def receive_from_agent(
         self,
         peer: dispatch_handler.AgentPeer,
         message: masticward_pb2.AgentMessage,
         reader: dispatch_reports.ReportReader,
-        passed: snapshots.SnapshotReceiver,
+        forwarded: snapshots.SnapshotReceiver,
     ) -> None:
-        """Apply one message of an agent. Raises SessionMessageError."""
+        """Apply one message of an agent. Raises SessionMessageError if it is inconsistent."""
         kind = message.WhichOneof("message")
         if kind == "offer":
             deadline = clocks.deadline_from_remaining_ms(message.offer.remaining_ms)
@@ -206,8 +207,8 @@
         elif kind == "retract":
             self.dispatcher.retract(peer)
         elif kind == "snapshot":
-            if passed.apply(message.snapshot):
-                self.dispatcher.offer_snapshot(passed.snapshot())
+            if forwarded.apply(message.snapshot):
+                self.dispatcher.offer_snapshot(forwarded.snapshot())
         elif kind == "ping":
             pong = masticward_pb2.AgentPong(
                 sequence=message.ping.sequence, waiting=self.dispatcher.waiting
@@ -215,16 +216,16 @@
             peer.outbox.put_nowait(masticward_pb2.DispatcherToAgent(pong=pong))
 
     async def write_agent(self, peer: dispatch_handler.AgentPeer, context: SessionContext) -> None:
-        """Write pongs, returned slots and snapshots as soon as they are there."""
+        """Write pongs, returned slots and snapshots from the peer's outbox, in batches."""
         while True:
             items = await dispatch_batches.take_ready(peer.outbox)
             await context.write(dispatch_batches.join(items))
 
     async def send_snapshots(self) -> None:
-        """Send a snapshot to every agent while something changes, a full one now and then."""
+        """Periodically send snapshots to the agents while the dispatcher's state changes."""
         writer = snapshots.SnapshotWriter(self.dispatcher.service)
         while True:
-            await asyncio.sleep(SNAPSHOT_SECONDS)
+            await asyncio.sleep(SNAPSHOT_PERIOD_SECONDS)
             snapshot = self.dispatcher.take_snapshot()
             if snapshot is None:
                 continue
@@ -232,27 +233,27 @@
             now = time.monotonic()
             candidates = self.dispatcher.candidates()
             for peer in self.dispatcher.agent_peers():
-                if peer.agent_id in candidates or peer.snapshot_due <= now:
+                if peer.agent_id in candidates or peer.next_snapshot_at <= now:
                     send_snapshot(peer, writer, now)
 
 
-def latest_ping(ping: masticward_pb2.Ping) -> float:
-    """Return the time of the loop at which a peer without another ping is given up."""
-    later_ms = max(0, min(ping.next_ms, MAXIMUM_PING_MS) - PING_MS)
-    allowed = SESSION_TIMEOUT_SECONDS + later_ms / clocks.MILLISECONDS_PER_SECOND
-    return asyncio.get_running_loop().time() + allowed
+def session_deadline(ping: masticward_pb2.Ping) -> float:
+    """Return the event-loop time at which the session ends if no further ping arrives."""
+    extra_ms = max(0, min(ping.next_ms, MAXIMUM_PING_PERIOD_MS) - PING_PERIOD_MS)
+    timeout_seconds = SESSION_TIMEOUT_SECONDS + extra_ms / clocks.MILLISECONDS_PER_SECOND
+    return asyncio.get_running_loop().time() + timeout_seconds
 
 
 def send_snapshot(
     peer: dispatch_handler.AgentPeer, writer: snapshots.SnapshotWriter, now: float
 ) -> None:
-    """Send the newest snapshot to an agent, in full if it is due."""
-    base = peer.snapshot_sequence if now < peer.snapshot_full_due else 0
+    """Send the newest snapshot to an agent, in full if a full one is due."""
+    base = peer.snapshot_sequence if now < peer.next_full_snapshot_at else 0
     message = writer.message_since(base)
-    spacing = message.snapshot.ByteSize() / SNAPSHOT_BYTES_PER_SECOND
-    peer.snapshot_due = now + spacing
+    spacing_seconds = message.snapshot.ByteSize() / SNAPSHOT_BYTES_PER_SECOND
+    peer.next_snapshot_at = now + spacing_seconds
     if not message.snapshot.base_sequence:
-        peer.snapshot_full_due = now + max(FULL_SNAPSHOT_SECONDS, spacing)
+        peer.next_full_snapshot_at = now + max(FULL_SNAPSHOT_PERIOD_SECONDS, spacing_seconds)
     peer.snapshot_sequence = message.snapshot.sequence
     peer.outbox.put_nowait(message)
 
--- a/src/masticward/protocol/gateway_peers.py
+++ b/src/masticward/protocol/gateway_peers.py
@@ -1,7 +1,8 @@
-"""Datagrams between gateways: each tells its figures; a lost one is replaced by the next.
+"""UDP datagrams by which gateways report their load, usage and configuration version.
 
-Datagrams fit better than gRPC here: every message replaces the one before, nothing has to be sent
-again, and a silent peer holds no connection. docs/platform.md has the measurement.
+Datagrams fit better than gRPC here: every report supersedes the previous one, so a lost datagram
+is never sent again, and an unresponsive peer holds no connection. docs/platform.md has the
+measurement.
 """
 
 import msgspec
@@ -10,48 +11,51 @@
 
 
 class PeerReport(msgspec.Struct, array_like=True, frozen=True, tag="figures"):
-    """What one gateway tells all others at regular times."""
+    """Full state of one gateway, sent periodically to all other gateways."""
 
     instance_id: str
     ip: str
-    # Grows with each start of the process.
+    # Increases with each start of the process.
     incarnation: int
     configuration_version: int
-    # Age of the proof that this version is the newest one, in seconds; negative without one.
+    # Age in seconds of the proof that this version is the newest one; negative without a proof.
     configuration_proof_age: float
     stopping: bool
-    # Of the listed endpoints and the zones that are out; 0 while they are not known.
+    # Digest of the listed endpoints and the zones that are out of service; 0 before they were read.
     listing_digest: int
-    # Endpoint id to unread tokens, requests and tokens in memory.
+    # By endpoint id: prompt tokens not processed yet, requests, and tokens in memory.
     loads: dict[str, tuple[int, int, int]]
-    # Team to tokens begun recently.
+    # By team: exponentially decayed tokens of the requests that were placed.
     usage: dict[str, float]
-    # Team to tokens asked for recently, served or not.
+    # By team: exponentially decayed tokens of all received requests, served or not.
     demand: dict[str, float]
-    # Prompts that were sent to engines since the last messages: endpoint id, prefix keys.
+    # Prompts sent to engines since the last messages, as (endpoint id, prefix keys).
     prompts: list[tuple[str, list[tuple[int, int]]]]
-    # Some of the gateways that the sender knows: instance id and IP.
+    # A subset of the sender's list of gateways, as (instance id, IP address).
     members: list[tuple[str, str]]
 
 
 class PeerChanges(msgspec.Struct, array_like=True, frozen=True, tag="changes"):
-    """What has changed since the last message; sent at once, for gateways that choose meanwhile."""
+    """Changes since the last message.
+
+    Sent immediately, so that other gateways choose endpoints with current loads between reports.
+    """
 
     instance_id: str
     incarnation: int
-    # Endpoint id to unread tokens, requests and tokens in memory; no requests: nothing is left.
+    # By endpoint id, as in PeerReport; 0 requests mean that the sender has no load left there.
     loads: dict[str, tuple[int, int, int]]
     prompts: list[tuple[str, list[tuple[int, int]]]]
 
 
 class PeerMessage(msgspec.Struct, array_like=True, frozen=True):
-    """Figures with the times that show how old they can be at most."""
+    """Encoded content with timestamps from which the receiver bounds the age of the content."""
 
-    # Sender's boot time in seconds; the receiver returns it as ``echo``.
+    # Seconds on the sender's boot-time clock; the receiver returns it as ``echo``.
     sent_at: float
-    # The newest ``sent_at`` that the sender has had from the receiver; 0 without one.
+    # The latest ``sent_at`` that the sender received from the receiver; 0 if it received none.
     echo: float
-    # Incarnation of the receiver that ``echo`` belongs to.
+    # Incarnation of the receiver that sent ``echo``.
     echo_incarnation: int
     content: msgspec.Raw
 
@@ -61,9 +65,9 @@
 CONTENT_DECODER = msgspec.msgpack.Decoder(PeerReport | PeerChanges)
 
 
-def encode_content(figures: PeerReport | PeerChanges) -> msgspec.Raw:
-    """Encode figures once for all receivers."""
-    return msgspec.Raw(ENCODER.encode(figures))
+def encode_content(content: PeerReport | PeerChanges) -> msgspec.Raw:
+    """Encode the content that the messages to all receivers share."""
+    return msgspec.Raw(ENCODER.encode(content))
 
 
 def encode(message: PeerMessage) -> bytes:
@@ -72,6 +76,6 @@
 
 
 def decode(data: bytes) -> tuple[PeerMessage, PeerReport | PeerChanges]:
-    """Decode one datagram; raises msgspec.DecodeError."""
+    """Decode one datagram into its message and content. Raises msgspec.DecodeError."""
     message = MESSAGE_DECODER.decode(data)
     return message, CONTENT_DECODER.decode(message.content)
--- a/src/masticward/protocol/gateway_snapshots.py
+++ b/src/masticward/protocol/gateway_snapshots.py
@@ -1,4 +1,4 @@
-"""What one gateway hands to another that cannot read the store: configuration and listings."""
+"""Configuration and endpoint list that a gateway serves to one that cannot read the store."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The beliefs of a gateway that came from the store."""
+    """The state of a gateway that originates from the store."""
 
     configuration: gateway.FleetConfiguration
-    # Age of the proof that this version is the newest one, in seconds.
+    # Age in seconds of the proof that this version is the newest one.
     proof_age: float
-    # ``cold_until`` of these holds the remaining seconds, as clocks differ between processes.
+    # ``cold_until`` holds remaining seconds here, because clocks differ between processes.
     endpoints: list[gateway.Endpoint]
     out_zones: list[str]
 
@@ -21,10 +21,10 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Encode a snapshot."""
+    """Encode a snapshot as MessagePack."""
     return ENCODER.encode(snapshot)
 
 
 def decode(data: bytes) -> Snapshot:
-    """Decode a snapshot; raises msgspec.DecodeError."""
+    """Decode a snapshot from MessagePack. Raises msgspec.DecodeError."""
     return DECODER.decode(data)
--- a/src/masticward/protocol/peers.py
+++ b/src/masticward/protocol/peers.py
@@ -1,4 +1,8 @@
-"""Exchange of versions between any two processes, fetch of what is newer, delivery of changes."""
+"""Client and server of the Peer service, by which processes exchange views and versions.
+
+Any two processes exchange digests and fetch newer configurations and operations states from each
+other; operators' commands deliver accepted operations states.
+"""
 
 import abc
 import collections.abc
@@ -17,14 +21,14 @@
 
 
 class ConfigurationParts(msgspec.Struct, frozen=True):
-    """A configuration as its encoded manifest and its shards by content hash."""
+    """A configuration as its encoded manifest and its encoded shards by content hash."""
 
     version: int
     manifest: bytes
     shards: dict[str, bytes]
 
     def reply(self, request: masticward_pb2.FetchRequest) -> masticward_pb2.FetchReply:
-        """Return the parts that the requester does not know; version 0 if it knows all."""
+        """Return the parts that the requester lacks; version 0 if it has this version or later."""
         if self.version <= request.known_version:
             return masticward_pb2.FetchReply(version=0)
         known = set(request.known_shards)
@@ -40,31 +44,34 @@
 
 
 class PeerHandler(abc.ABC):
-    """The side of a process's view that answers peers."""
+    """Interface of a process's view to the Peer servicer."""
 
     @abc.abstractmethod
     def digest(self) -> masticward_pb2.ViewDigest:
-        """Return who this process is and which versions it holds."""
+        """Return this process's identity and the versions that it has."""
 
     @abc.abstractmethod
     def receive_digest(self, digest: masticward_pb2.ViewDigest) -> None:
-        """Note the digest of a peer that has called."""
+        """Process the digest of a calling peer."""
 
     @abc.abstractmethod
     def newest(self, kind: int) -> tuple[int, bytes]:
-        """Return version and bytes of the newest value of a ``FetchRequest.Kind``; 0 if none."""
+        """Return version and bytes of the newest value of a ``FetchRequest.Kind``.
+
+        The version is 0 if there is none.
+        """
 
     def parts(self) -> ConfigurationParts | None:
-        """Return the parts of the newest configuration, None if only its bytes are held."""
+        """Return the parts of the newest configuration, None if only its bytes are available."""
         return None
 
     @abc.abstractmethod
     def receive_delivery(self, delivery: masticward_pb2.Delivery) -> None:
-        """Take an operations state from an operator's command if it is newer and valid."""
+        """Adopt an operations state sent by an operator's command if it is newer and valid."""
 
 
 class PeerServicer(masticward_pb2_grpc.PeerServicer):
-    """Answers the calls of peers from the process's view."""
+    """Serves the calls of peers from the process's view."""
 
     def __init__(self, view: PeerHandler) -> None:
         self.view = view
@@ -72,14 +79,14 @@
     async def Exchange(  # noqa: N802
         self, request: masticward_pb2.ViewDigest, context: typing.Any
     ) -> masticward_pb2.ViewDigest:
-        """Note the caller's digest and return this process's own."""
+        """Process the caller's digest and return this process's own."""
         self.view.receive_digest(request)
         return self.view.digest()
 
     async def Fetch(  # noqa: N802
         self, request: masticward_pb2.FetchRequest, context: typing.Any
     ) -> masticward_pb2.FetchReply:
-        """Return the newest value if it is newer than the caller's."""
+        """Return the newest value, version 0 if it is not newer than the caller's."""
         if request.accepts_shards and request.kind == masticward_pb2.FetchRequest.CONFIGURATION:
             parts = self.view.parts()
             if parts is not None:
@@ -92,7 +99,7 @@
     async def Deliver(  # noqa: N802
         self, request: masticward_pb2.Delivery, context: typing.Any
     ) -> masticward_pb2.ViewDigest:
-        """Take a delivered state if it is newer and return this process's digest."""
+        """Adopt a delivered state if it is newer and valid; return this process's digest."""
         self.view.receive_delivery(request)
         return self.view.digest()
 
@@ -104,10 +111,10 @@
     deadline: float,
     wait_for_connection: bool = False,
 ) -> result.Result[masticward_pb2.ViewDigest, errors.PeerUnavailableError]:
-    """Send a digest to a peer and return the peer's, before a monotonic deadline.
+    """Send a digest to a peer and return the peer's, before a deadline in monotonic seconds.
 
-    With ``wait_for_connection`` the call waits until the peer can be reached again, so that no
-    back-off of the connection delays it.
+    With ``wait_for_connection`` the call waits for a connection until the deadline instead of
+    failing while the channel is in back-off.
     """
     stub = masticward_pb2_grpc.PeerStub(pool.get(address))
     return await call(pool, address, stub.Exchange, digest, deadline, wait_for_connection)
@@ -138,7 +145,7 @@
 async def deliver(
     pool: channels.ChannelPool, address: str, version: int, value: bytes, deadline: float
 ) -> result.Result[int, errors.PeerUnavailableError]:
-    """Send an accepted operations state to a process and return the version it then holds."""
+    """Send an accepted operations state to a process and return the version it then has."""
     stub = masticward_pb2_grpc.PeerStub(pool.get(address))
     delivery = masticward_pb2.Delivery(version=version, value=value)
     answer = await call(pool, address, stub.Deliver, delivery, deadline)
@@ -153,7 +160,7 @@
     deadline: float,
     wait_for_connection: bool = False,
 ) -> result.Result[typing.Any, errors.PeerUnavailableError]:
-    """Make one unary call to a peer."""
+    """Make one unary call to a peer, with a deadline in monotonic seconds."""
     try:
         return result.Success(
             await method(
@@ -167,7 +174,7 @@
         detail = f"{address}: {error.code().name} {error.details()}"
         return result.Failure(errors.PeerUnavailableError(detail))
     except grpc.aio.UsageError as error:
-        # The channel was closed because the peer is no longer a member.
+        # The pool closes the channel of a peer that is no longer a member.
         return result.Failure(errors.PeerUnavailableError(f"{address}: {error}"))
 
 
--- a/src/masticward/protocol/snapshots.py
+++ b/src/masticward/protocol/snapshots.py
@@ -1,23 +1,27 @@
-"""Ledger snapshots on the wire: in full, and as changes since one that the receiver has.
+"""Encoding of ledger snapshots, in full or as changes since one that the receiver has.
 
-A full snapshot gives each team and agent incarnation a number, by which later changes name it.
+A full snapshot assigns a number to each team and agent incarnation; later changes refer to it.
 """
 
 from masticward import errors
 from masticward.state import ledger
 from masticward.wire import masticward_pb2
 
-# Snapshots from which changes can still be worked out. Candidates need the last one; the others get
-# snapshots less often, and a full one if their base is no longer kept.
+# Number of latest snapshots that can serve as the base of changes. Candidates need only the last
+# one; other agents get snapshots less often, and a full one if their base is no longer retained.
 RETAINED_SNAPSHOTS = 8
-# Numbers are given anew once this many are in use beyond those of the present teams and agents.
+# All numbers are reassigned once more than this many belong to removed teams and agents.
 MAXIMUM_STALE_NUMBERS = 1000
 
 AgentKey = tuple[str, int]
 
 
-class Content:
-    """Virtual time and mean cost by team, and included totals by agent incarnation and team."""
+class IndexedSnapshot:
+    """A snapshot with its values indexed for comparison.
+
+    ``teams`` maps a team to its virtual time and mean cost, ``agents`` an agent incarnation to its
+    included totals by team.
+    """
 
     __slots__ = ("agents", "snapshot", "teams")
 
@@ -31,21 +35,21 @@
 
 
 class SnapshotWriter:
-    """The dispatcher's end, for all its agents."""
+    """Encodes the snapshots of a dispatcher for all its agents."""
 
     __slots__ = ("agent_numbers", "messages", "retained", "sequence", "service", "team_numbers")
 
     def __init__(self, service: str) -> None:
         self.service = service
         self.sequence = 0
-        self.retained: dict[int, Content] = {}
+        self.retained: dict[int, IndexedSnapshot] = {}
         self.messages: dict[int, masticward_pb2.DispatcherToAgent] = {}
         self.team_numbers: dict[str, int] = {}
         self.agent_numbers: dict[AgentKey, int] = {}
 
     def add(self, snapshot: ledger.Snapshot) -> None:
-        """Let later messages bring their receivers to this snapshot."""
-        content = Content(snapshot)
+        """Make a snapshot the newest one, which later messages transfer."""
+        content = IndexedSnapshot(snapshot)
         used = len(self.team_numbers) + len(self.agent_numbers)
         if used > len(content.teams) + len(content.agents) + MAXIMUM_STALE_NUMBERS:
             self.retained.clear()
@@ -62,7 +66,7 @@
             del self.retained[next(iter(self.retained))]
 
     def message_since(self, base_sequence: int) -> masticward_pb2.DispatcherToAgent:
-        """Return a message for a receiver that has the base; a full one if it is not kept."""
+        """Return the newest snapshot as changes to the base, in full if it is not retained."""
         base_sequence = base_sequence if base_sequence in self.retained else 0
         message = self.messages.get(base_sequence)
         if message is None:
@@ -79,29 +83,32 @@
             self.messages[base_sequence] = message
         return message
 
-    def write_changes(self, base: Content, content: Content) -> masticward_pb2.Snapshot:
-        """Return what differs between two snapshots."""
+    def write_changes(
+        self, base: IndexedSnapshot, content: IndexedSnapshot
+    ) -> masticward_pb2.Snapshot:
+        """Return the changes that turn the base into the content."""
         changes = masticward_pb2.SnapshotChanges()
         for team, (virtual_time, mean_cost) in content.teams.items():
             number = self.team_numbers[team]
-            known = base.teams.get(team)
-            if known is None:
+            base_values = base.teams.get(team)
+            if base_values is None:
                 changes.new_team_numbers.append(number)
                 changes.new_teams.append(team)
-            if known is None or known[0] != virtual_time:
+            if base_values is None or base_values[0] != virtual_time:
                 changes.time_teams.append(number)
                 changes.virtual_times.append(virtual_time)
-            if known is None or known[1] != mean_cost:
+            if base_values is None or base_values[1] != mean_cost:
                 changes.cost_teams.append(number)
                 changes.mean_costs.append(mean_cost)
-        removed = base.teams.keys() - content.teams.keys()
-        changes.removed_teams.extend(self.team_numbers[team] for team in removed)
+        removed_teams = base.teams.keys() - content.teams.keys()
+        changes.removed_teams.extend(self.team_numbers[team] for team in removed_teams)
         for key, totals in content.agents.items():
             included = base.agents.get(key)
             if included is not None and not (
                 included.keys() & content.teams.keys() <= totals.keys()
             ):
-                # A total of a team that stays is gone: the agent is sent as if it were new.
+                # Changes cannot remove a single total. The agent lacks one of a team that remains,
+                # so it is sent like a new agent, which replaces all its totals.
                 included = None
             changed = {
                 team: total
@@ -117,8 +124,8 @@
                     agent.agent_id, agent.incarnation = key
                 changes.agent_numbers.append(self.agent_numbers[key])
                 changes.agents.append(agent)
-        gone = base.agents.keys() - content.agents.keys()
-        changes.removed_agents.extend(self.agent_numbers[key] for key in gone)
+        removed_agents = base.agents.keys() - content.agents.keys()
+        changes.removed_agents.extend(self.agent_numbers[key] for key in removed_agents)
         return masticward_pb2.Snapshot(
             service=self.service,
             system_virtual_time=content.snapshot.system_virtual_time,
@@ -128,7 +135,7 @@
 
 
 class SnapshotReceiver:
-    """One receiver's copy of a dispatcher's newest snapshot."""
+    """A receiver's copy of a dispatcher's newest snapshot, updated by full ones and changes."""
 
     __slots__ = (
         "agents",
@@ -141,30 +148,31 @@
     )
 
     def __init__(self) -> None:
-        # 0 while no snapshot is known to be complete.
+        # Sequence of the snapshot; 0 before the first one and after an invalid message.
         self.sequence = 0
         self.system_virtual_time = 0.0
         self.included_total = 0.0
-        # By number: names, identities, pairs of virtual time and mean cost, totals by team number.
+        # By team number: name, and virtual time with mean cost.
         self.teams: dict[int, str] = {}
+        # By agent number: agent id with incarnation, and included totals by team number.
         self.agents: dict[int, AgentKey] = {}
         self.values: dict[int, list[float]] = {}
         self.totals: dict[int, dict[int, float]] = {}
 
     def apply(self, message: masticward_pb2.Snapshot) -> bool:
-        """Take a message over; False, without any effect, if its base is not here.
+        """Apply a message. Return False, without any effect, if its base is not the present copy.
 
-        Raises SessionMessageError if the message names what its session never numbered; only a
-        full snapshot is taken over after that.
+        Raises SessionMessageError if the message refers to undefined numbers or has lists of
+        different lengths; after that, only a full snapshot is applied.
         """
         if message.base_sequence and message.base_sequence != self.sequence:
             return False
         self.sequence = 0
         try:
             if message.base_sequence:
-                self.change(message.changes)
+                self.apply_changes(message.changes)
             else:
-                self.load(message)
+                self.apply_full(message)
         except (LookupError, ValueError) as error:
             raise errors.SessionMessageError(f"snapshot: {error!r}") from error
         self.sequence = message.sequence
@@ -172,8 +180,8 @@
         self.included_total = message.included_total
         return True
 
-    def load(self, message: masticward_pb2.Snapshot) -> None:
-        """Replace everything by a full snapshot."""
+    def apply_full(self, message: masticward_pb2.Snapshot) -> None:
+        """Replace the copy by a full snapshot."""
         numbers = list(message.team_numbers)
         pairs = list(zip(numbers, message.teams, strict=True))
         self.teams = {number: entry.team for number, entry in pairs}
@@ -188,8 +196,8 @@
             for number, agent in agents
         }
 
-    def change(self, changes: masticward_pb2.SnapshotChanges) -> None:
-        """Apply the changes since the snapshot that is here."""
+    def apply_changes(self, changes: masticward_pb2.SnapshotChanges) -> None:
+        """Apply changes to the present copy."""
         for number in changes.removed_teams:
             del self.teams[number], self.values[number]
             for totals in self.totals.values():
@@ -210,7 +218,7 @@
             self.totals[number].update(zip(agent.team_indexes, agent.totals, strict=True))
 
     def snapshot(self) -> ledger.Snapshot:
-        """Return the whole snapshot."""
+        """Return the copy as a ledger snapshot."""
         return ledger.Snapshot(
             system_virtual_time=self.system_virtual_time,
             teams=tuple(
@@ -226,17 +234,17 @@
         )
 
     def write(self, service: str) -> masticward_pb2.Snapshot:
-        """Return the whole snapshot in wire form, to which later changes may be applied."""
+        """Return the copy as a full message, with numbers to which later changes can refer."""
         message = to_wire(service, self.snapshot())
         message.sequence = self.sequence
         message.team_numbers.extend(self.teams)
-        # An agent whose totals were all of removed teams is not in the wire form.
+        # The message omits agents that have totals of removed teams only.
         message.agent_numbers.extend(number for number in self.agents if self.totals[number])
         return message
 
 
 def to_wire(service: str, snapshot: ledger.Snapshot) -> masticward_pb2.Snapshot:
-    """Return the wire form of a snapshot, without numbers for later changes."""
+    """Return a snapshot as a full message, without numbers for later changes."""
     indexes = {entry.team: index for index, entry in enumerate(snapshot.teams)}
     agents: dict[AgentKey, masticward_pb2.IncludedAgent] = {}
     for entry in snapshot.included:
@@ -263,7 +271,7 @@
 
 
 def from_wire(message: masticward_pb2.Snapshot) -> ledger.Snapshot:
-    """Return a full snapshot's content. Raises IndexError if an index names no team."""
+    """Return the snapshot of a full message. Raises IndexError if a team index is out of range."""
     names = [entry.team for entry in message.teams]
     return ledger.Snapshot(
         system_virtual_time=message.system_virtual_time,
--- a/tests/functional/test_attempt_client.py
+++ b/tests/functional/test_attempt_client.py
@@ -1,4 +1,8 @@
-"""Guards against attempts that count as not run although an agent received them."""
+"""Tests the attempt client against an agent with scripted responses.
+
+Guards against treating an attempt as not run although an agent received it: the entry would send
+the call again, and it could run twice.
+"""
 
 import asyncio
 import unittest
@@ -18,7 +22,7 @@
 
 
 class GrpcAttemptClientTest(unittest.IsolatedAsyncioTestCase):
-    async def test_whole_response_and_the_request_as_sent(self) -> None:
+    async def test_complete_response_and_fields_of_the_sent_request(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
             agent.frames = attempt_fakes.complete_frames()
             events = await collect(agent.client, attempt_fakes.build_attempt(agent.address))
@@ -30,15 +34,15 @@
                  sent.operations_version, sent.body, sent.entry_peer_address),
             )  # fmt: skip
 
-    async def test_stream_cut_at_every_position_may_have_run(self) -> None:
+    async def test_truncated_stream_may_have_run(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
-            whole = attempt_fakes.complete_frames()
-            for position in range(len(whole)):
-                agent.frames = whole[:position]
+            complete = attempt_fakes.complete_frames()
+            for position in range(len(complete)):
+                agent.frames = complete[:position]
                 with self.assertRaises(errors.AttemptFailedError):
                     await collect(agent.client, attempt_fakes.build_attempt(agent.address))
 
-    async def test_refusal_is_not_run(self) -> None:
+    async def test_refusal_means_not_run(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
             refused = masticward_pb2.Refused(reason="stale-view", retry_after_ms=30)
             agent.frames = [masticward_pb2.RunFrame(attempt_id="a-1", refused=refused)]
@@ -47,7 +51,7 @@
             self.assertEqual("stale-view", caught.exception.reason)
             self.assertEqual(30, caught.exception.retry_after_ms)
 
-    async def test_agent_that_was_never_reached_is_not_run(self) -> None:
+    async def test_unreachable_agent_means_not_run(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
             attempt = attempt_fakes.build_attempt("127.0.0.1:9", seconds=0.2)
             with self.assertRaises(errors.AttemptRefusedError) as caught:
@@ -56,7 +60,7 @@
             self.assertFalse(attempt.sent)
 
     async def test_connection_lost_before_the_first_frame_may_have_run(self) -> None:
-        """Fails if UNAVAILABLE without a frame is taken for a call that was not sent."""
+        """Fails if UNAVAILABLE before the first frame is treated as a call that was not sent."""
         async with attempt_fakes.ScriptedAgent() as agent:
             agent.hold = True
             run = asyncio.ensure_future(
@@ -67,8 +71,8 @@
             with self.assertRaises(errors.AttemptFailedError):
                 await run
 
-    async def test_closed_channel_may_have_run_and_cancels_nothing_else(self) -> None:
-        """Fails if grpc.aio's CancelledError for a closed channel ends the request's task."""
+    async def test_closed_channel_may_have_run_and_does_not_cancel_the_caller(self) -> None:
+        """Fails if the CancelledError that grpc.aio raises for a closed channel ends the task."""
         async with attempt_fakes.ScriptedAgent() as agent:
             agent.hold = True
             run = asyncio.ensure_future(
@@ -79,8 +83,8 @@
             with self.assertRaises(errors.AttemptFailedError):
                 await run
 
-    async def test_silent_connection_ends_long_before_the_deadline(self) -> None:
-        """Fails if a call on a connection that drops everything waits for its whole deadline."""
+    async def test_call_on_a_dead_connection_fails_long_before_its_deadline(self) -> None:
+        """Fails if a call on a connection that drops all data waits until its deadline."""
         async with attempt_fakes.ScriptedAgent() as agent:
             agent.hold = True
             relay = forwarder.Forwarder(attempt_fakes.HOST, int(agent.address.rpartition(":")[2]))
@@ -113,7 +117,7 @@
             events = await collect(agent.client, attempt_fakes.build_attempt(agent.address, "a-2"))
             self.assertEqual([b"new"], [e.data for e in events if hasattr(e, "data")])
 
-    async def test_crossed_frames_may_have_run(self) -> None:
+    async def test_frames_of_another_attempt_may_have_run(self) -> None:
         async with attempt_fakes.ScriptedAgent() as agent:
             agent.frames = attempt_fakes.complete_frames("a-2")
             with self.assertRaises(errors.AttemptFailedError):
--- a/tests/functional/test_attempt_server.py
+++ b/tests/functional/test_attempt_server.py
@@ -1,4 +1,8 @@
-"""Guards against crossed or cut frames, and against cancelling what must run to its end."""
+"""Tests the attempt server with an agent's runner and a stand-in endpoint.
+
+Guards against mixing the frames of concurrent attempts, against passing on a truncated response as
+complete, and against cancelling plain calls, which must run to completion.
+"""
 
 import asyncio
 import typing
@@ -14,7 +18,7 @@
 from tests.lib import agent_harness
 
 SECURITY = settings.PeerSecurity(mode=settings.SecurityMode.SHARED_KEY, shared_key="k")
-DROPS = [point for point in endpoint_server.DropPoint if point.value != "none"]
+DROP_POINTS = [point for point in endpoint_server.DropPoint if point.value != "none"]
 
 
 class AttemptServerTest(unittest.IsolatedAsyncioTestCase):
@@ -60,22 +64,22 @@
         return stub.Run(self.last_request, metadata=self.metadata)
 
     async def collect(self, call: typing.Any) -> tuple[list[typing.Any], list[str], bytes]:
-        """The frames, their kinds and the body."""
+        """Return the frames, their kinds and the body."""
         frames = [frame async for frame in call]
         kinds = [frame.WhichOneof("frame") for frame in frames]
         return frames, kinds, b"".join(frame.chunk.data for frame in frames)
 
-    async def test_frames_of_concurrent_streams_are_whole_and_not_crossed(self) -> None:
+    async def test_frames_of_concurrent_streams_are_complete_and_not_mixed(self) -> None:
         await self.open("language-model", token_ms=1, first_token_ms=1)
         bodies = [agent_harness.generate_body(10, 20) for _ in range(2)]
         calls = [(body, self.start_call(body), self.last_request) for body in bodies]
         for body, call, request in calls:
-            frames, kinds, answer = await self.collect(call)
+            frames, kinds, response_body = await self.collect(call)
             self.assertEqual({request.attempt_id}, {frame.attempt_id for frame in frames})
             self.assertEqual(list(range(len(frames))), [frame.sequence for frame in frames])
             self.assertEqual(["accepted", "head"], kinds[:2])
-            self.assertEqual(engine.answer_of(body), answer)
-            expected = (len(frames), len(answer), xxhash.xxh3_64_intdigest(answer))
+            self.assertEqual(engine.answer_of(body), response_body)
+            expected = (len(frames), len(response_body), xxhash.xxh3_64_intdigest(response_body))
             end = frames[-1].end
             self.assertEqual(expected, (end.frame_count, end.length, end.digest))
             self.assertAlmostEqual(10 * 0.1 + 20, end.cost)
@@ -83,7 +87,7 @@
         self.assertAlmostEqual(2 * 21.0, report.counters["team-1"])
         self.assertEqual({request.ticket_id for _, _, request in calls}, set(report.finished))
 
-    async def test_cancelling_the_attempt_cancels_the_stream(self) -> None:
+    async def test_cancelling_the_attempt_cancels_the_endpoint_stream(self) -> None:
         await self.open("language-model", token_ms=20)
         call = self.start_call(agent_harness.generate_body(10, 500))
         async for frame in call:
@@ -107,7 +111,7 @@
         self.assertEqual((0, 0), (capacity.in_flight.own_calls, capacity.awaiting_first_token))
         self.assertEqual(0, len(self.recorder.records))
 
-    async def test_entry_that_does_not_read_loses_the_stream_at_its_deadline(self) -> None:
+    async def test_stream_to_an_entry_that_does_not_read_ends_at_the_deadline(self) -> None:
         await self.open("language-model", token_ms=0, first_token_ms=0)
         body = agent_harness.generate_body(1, 20_000)
         call = agent_harness.call_request(body=body, seconds=0.5)
@@ -117,7 +121,7 @@
         self.assertTrue([event async for event in stream][-1].may_have_run)
         await agent_harness.until(lambda: self.recorder.running == 0)
 
-    async def test_cancelled_plain_call_runs_to_its_end_and_is_counted(self) -> None:
+    async def test_cancelled_plain_call_runs_to_completion_and_is_charged(self) -> None:
         await self.open("plain", service_ms=200)
         call = self.start_call(b"book")
         await agent_harness.until(lambda: self.recorder.running == 1)
@@ -132,20 +136,21 @@
         self.assertEqual({"team-1": 3.0}, report.counters)
         self.assertEqual([3.0], list(report.finished.values()))
 
-    async def test_cut_answers_fail_and_arrive_once(self) -> None:
+    async def test_truncated_responses_fail_and_the_call_arrives_once(self) -> None:
         for kind, methods in (("language-model", ("POST",)), ("plain", agent_harness.METHODS)):
             await self.open(kind)
             for method in methods:
-                _, kinds, answer = await self.collect(self.start_call(b"{}", method))
+                _, kinds, response_body = await self.collect(self.start_call(b"{}", method))
                 self.assertEqual("end", kinds[-1])
                 digest = 0 if method == "HEAD" else self.recorder.records[-1].response_digest
-                self.assertIn(digest, (0, xxhash.xxh3_64_intdigest(answer)))
-                # HEAD has no body that could be cut.
-                for point in DROPS if method != "HEAD" else DROPS[:2]:
+                self.assertIn(digest, (0, xxhash.xxh3_64_intdigest(response_body)))
+                # A response to HEAD has no body that could be truncated.
+                for point in DROP_POINTS if method != "HEAD" else DROP_POINTS[:2]:
                     with self.subTest(point=point, method=method):
                         await self.check_drop(point, method)
-        # Each call that may have run is charged, cut or not: 3 units for each method and drop.
-        calls = len(agent_harness.METHODS) * (1 + len(DROPS)) - len(DROPS[2:])
+        # Each call that may have run is charged, even if its response is truncated: 3 cost units
+        # for each method and drop point.
+        calls = len(agent_harness.METHODS) * (1 + len(DROP_POINTS)) - len(DROP_POINTS[2:])
         self.assertEqual({"team-1": 3.0 * calls}, self.runner.report().counters)
 
     async def check_drop(self, point: endpoint_server.DropPoint, method: str) -> None:
--- a/tests/lib/attempt_fakes.py
+++ b/tests/lib/attempt_fakes.py
@@ -1,4 +1,4 @@
-"""An agent that answers attempts with scripted frames, and builders of frames and attempts."""
+"""A fake agent that responds to attempts with scripted frames; builders of frames and attempts."""
 
 import asyncio
 import collections.abc
@@ -69,7 +69,10 @@
 
 
 class ScriptedAgent(masticward_pb2_grpc.AttemptServicer):
-    """Sends ``frames`` for each run and then does what ``ending`` says."""
+    """Sends ``frames`` for each attempt, then closes the stream or, with ``hold``, leaves it open.
+
+    ``requests`` holds the received requests, ``cancelled`` counts the cancelled ones.
+    """
 
     def __init__(self) -> None:
         self.transport = channels.PeerTransport(
@@ -88,7 +91,7 @@
         self.requests.append(request)
         try:
             for frame in self.frames:
-                # grpc does not close a generator whose caller has gone.
+                # Not yielded: grpc does not close a generator after its caller has disconnected.
                 await context.write(frame)
             if self.hold:
                 await asyncio.Event().wait()
--- a/tests/unit/test_dispatch_assignments.py
+++ b/tests/unit/test_dispatch_assignments.py
@@ -1,4 +1,8 @@
-"""Guards against assignments that reach another agent or incarnation than the dispatcher chose."""
+"""Tests the encoding of assignments, which replaces agent identities by numbers.
+
+Guards against assignments that are decoded for another agent or incarnation than the dispatcher
+chose.
+"""
 
 import time
 import unittest
@@ -26,7 +30,7 @@
 
 
 class AssignmentTest(unittest.TestCase):
-    def test_identity_travels_once_for_each_incarnation(self) -> None:
+    def test_identity_is_sent_once_per_incarnation(self) -> None:
         writer = dispatch_assignments.AssignmentWriter()
         reader = dispatch_assignments.AssignmentReader()
         agents = [("a", 2**60), ("b", 1), ("a", 2**60), ("a", 2**60 + 1), ("b", 1)]
@@ -40,7 +44,7 @@
             first = (agent_id, incarnation) not in agents[:number]
             self.assertEqual(first, f"zone-of-{agent_id}".encode() in wire)
 
-    def test_number_without_identity_is_refused(self) -> None:
+    def test_undefined_agent_number_is_rejected(self) -> None:
         with self.assertRaises(errors.SessionMessageError):
             dispatch_assignments.AssignmentReader().read(masticward_pb2.Assign(agent_number=1))
 
--- a/tests/unit/test_dispatch_batches.py
+++ b/tests/unit/test_dispatch_batches.py
@@ -1,4 +1,7 @@
-"""Guards against a gRPC message for each ticket, slot and report that is ready at the same time."""
+"""Tests that session messages which are ready at the same time share one gRPC message.
+
+Guards against the cost of a separate gRPC message for each ticket, slot and report.
+"""
 
 import asyncio
 import typing
@@ -11,8 +14,8 @@
 from tests.lib import dispatch_fleet
 
 
-class Stream:
-    """Records what is written and offers it to a reader."""
+class RecordingStream:
+    """Records the written messages."""
 
     def __init__(self) -> None:
         self.written: list[typing.Any] = []
@@ -37,7 +40,7 @@
         link = dispatch_client.EntryLink(None, "", hello, unittest.mock.Mock())
         for number in range(99):
             link.enqueue(dispatch_fleet.ticket(f"t{number}", "red"))
-        stream = Stream()
+        stream = RecordingStream()
         await self.write(link.write(stream))
         self.assertEqual([0, 64, 35], [len(message.batch) for message in stream.written])
         names = [item.enqueue.ticket_id for item in stream.items()[1:]]
@@ -56,7 +59,7 @@
             peer.outbox.put_nowait(
                 work.Assignment(ticket_id=f"t{number}", slot=slot, virtual_time=0.0, queue_ms=0.0)
             )
-        stream = Stream()
+        stream = RecordingStream()
         servicer = dispatch_server.DispatchServicer(unittest.mock.Mock())
         await self.write(servicer.write_entry(peer, stream))
         self.assertEqual(1, len(stream.written))
@@ -67,7 +70,7 @@
         link = dispatch_client.AgentLink(None, "", hello, unittest.mock.Mock())
         link.offer((1, 2), 0.0)
         link.report(masticward_pb2.ServiceReport(running=1))
-        stream = Stream()
+        stream = RecordingStream()
         await self.write(link.write(stream))
         self.assertEqual([0, 2], [len(message.batch) for message in stream.written])
         kinds = [item.WhichOneof("message") for item in stream.items()]
@@ -76,12 +79,12 @@
         peer = dispatch_fleet.agent_peer("agent-1")
         peer.return_slots([1])
         peer.return_slots([2])
-        stream = Stream()
+        stream = RecordingStream()
         servicer = dispatch_server.DispatchServicer(unittest.mock.Mock())
         await self.write(servicer.write_agent(peer, stream))
         self.assertEqual([2], [len(message.batch) for message in stream.written])
 
-    async def test_single_message_has_no_batch(self) -> None:
+    async def test_single_message_is_sent_without_a_batch(self) -> None:
         outbox: asyncio.Queue[masticward_pb2.EntryMessage] = asyncio.Queue()
         outbox.put_nowait(masticward_pb2.EntryMessage(ping=masticward_pb2.Ping(sequence=1)))
         message = dispatch_batches.join(await dispatch_batches.take_ready(outbox))
--- a/tests/unit/test_session_pings.py
+++ b/tests/unit/test_session_pings.py
@@ -1,4 +1,8 @@
-"""Guards against pings that nobody needs, and against a late notice of loss where tickets wait."""
+"""Tests the ping period and the timeouts of entry sessions.
+
+Guards against frequent pings on idle sessions, and against late detection of a failed dispatcher
+while tickets wait.
+"""
 
 import asyncio
 import typing
@@ -13,14 +17,14 @@
 from tests.lib import dispatch_fleet
 
 
-class Listener(dispatch_client.EntryListener):
-    """An entry whose waiting tickets the test counts."""
+class FakeListener(dispatch_client.EntryListener):
+    """An entry with a number of waiting tickets that the test sets."""
 
     def __init__(self) -> None:
         self.waiting = 0
 
     def on_assign(self, assignment: work.Assignment) -> None:
-        raise AssertionError("nothing is assigned")
+        raise AssertionError("unexpected assignment")
 
     def on_pong(self) -> None:
         pass
@@ -29,8 +33,8 @@
         return self.waiting > 0
 
 
-class Dispatcher:
-    """The stream to a dispatcher that answers a number of pings and is silent from then on."""
+class ScriptedDispatcher:
+    """Stream to a dispatcher that answers a given number of pings and then stops responding."""
 
     def __init__(self, answers: int) -> None:
         self.answers = answers
@@ -51,20 +55,20 @@
 
 class PingTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        for name, value in (("PING_SECONDS", 0.02), ("IDLE_PING_SECONDS", 3600.0)):
+        for name, value in (("PING_PERIOD_SECONDS", 0.02), ("IDLE_PING_PERIOD_SECONDS", 3600.0)):
             patch = unittest.mock.patch.object(dispatch_client, name, value)
             patch.start()
             self.addCleanup(patch.stop)
 
     def open_link(self, answers: int) -> None:
-        self.listener = Listener()
+        self.listener = FakeListener()
         hello = masticward_pb2.EntryHello(entry_id="entry-1", service=dispatch_fleet.SERVICE)
         self.link = dispatch_client.EntryLink(None, "", hello, self.listener)
-        self.dispatcher = Dispatcher(answers)
+        self.dispatcher = ScriptedDispatcher(answers)
         for running in (self.link.write(self.dispatcher), self.link.ping()):
             self.addCleanup(asyncio.ensure_future(running).cancel)
 
-    async def test_only_a_session_with_tickets_pings_often(self) -> None:
+    async def test_ping_period_is_short_only_while_tickets_wait(self) -> None:
         self.open_link(answers=1000)
         reading = asyncio.ensure_future(self.link.read(self.dispatcher))
         self.addCleanup(reading.cancel)
@@ -82,21 +86,21 @@
         self.assertEqual(count, len(self.dispatcher.pings))
         self.assertFalse(reading.done())
 
-    async def test_silent_dispatcher_is_noticed_after_the_first_ticket(self) -> None:
-        """Fails if the first ticket waits for the next idle ping to find the dispatcher frozen."""
+    async def test_unresponsive_dispatcher_is_detected_after_the_first_ticket(self) -> None:
+        """Fails if a frozen dispatcher is detected only after the next ping of the idle period."""
         with unittest.mock.patch.object(dispatch_client, "PONG_TIMEOUT_SECONDS", 1.0):
             self.open_link(answers=1)
             reading = asyncio.ensure_future(self.link.read(self.dispatcher))
             self.addCleanup(reading.cancel)
             await dispatch_fleet.wait_until(lambda: self.link.established)
             await asyncio.sleep(1.2)
-            self.assertFalse(reading.done(), "an idle session is given up between its pings")
+            self.assertFalse(reading.done(), "the idle session timed out between its pings")
             self.listener.waiting = 1
             self.link.enqueue(dispatch_fleet.ticket("t1", "red"))
             self.assertTrue(await dispatch_fleet.wait_until(reading.done))
             self.assertIsInstance(reading.exception(), TimeoutError)
 
-    async def test_server_waits_for_the_announced_ping_but_not_for_good(self) -> None:
+    async def test_server_waits_for_the_announced_ping_up_to_a_limit(self) -> None:
         async def read(*next_ms: int) -> typing.Any:
             pings = [
                 masticward_pb2.EntryMessage(ping=masticward_pb2.Ping(sequence=1, next_ms=value))
@@ -116,12 +120,12 @@
 
         with unittest.mock.patch.object(dispatch_server, "SESSION_TIMEOUT_SECONDS", 0.1):
             await read(5000)
-            for silent in ((), (0,), (700,)):
+            for announced_ms in ((), (0,), (700,)):
                 with self.assertRaises(TimeoutError):
-                    await read(*silent)
+                    await read(*announced_ms)
         with (
             unittest.mock.patch.object(dispatch_server, "SESSION_TIMEOUT_SECONDS", 0.1),
-            unittest.mock.patch.object(dispatch_server, "MAXIMUM_PING_MS", 800),
+            unittest.mock.patch.object(dispatch_server, "MAXIMUM_PING_PERIOD_MS", 800),
             self.assertRaises(TimeoutError),
         ):
             await read(3_600_000)
