--- a/src/masticward/protocol/attempt_server.py
+++ b/src/masticward/protocol/attempt_server.py
@@ -41,10 +41,10 @@
         """Return the event as the next frame."""
         frame = masticward_pb2.RunFrame(attempt_id=self.attempt_id, sequence=self.sequence)
         self.sequence += 1
-        self.fill(frame, event)
+        self.set_content(frame, event)
         return frame
 
-    def fill(self, frame: masticward_pb2.RunFrame, event: attempts.AttemptEvent) -> None:
+    def set_content(self, frame: masticward_pb2.RunFrame, event: attempts.AttemptEvent) -> None:
         """Set the frame's content to the event."""
         match event:
             case attempts.Accepted():
--- a/src/masticward/protocol/dispatch_assignments.py
+++ b/src/masticward/protocol/dispatch_assignments.py
@@ -13,10 +13,10 @@
 class AssignmentWriter:
     """Encodes the assignments of one session, on the dispatcher."""
 
-    __slots__ = ("numbers",)
+    __slots__ = ("agent_numbers",)
 
     def __init__(self) -> None:
-        self.numbers: dict[tuple[str, int, str, str], int] = {}
+        self.agent_numbers: dict[tuple[str, int, str, str], int] = {}
 
     def write(self, assignment: work.Assignment) -> masticward_pb2.Assign:
         """Return the wire form of an assignment."""
@@ -27,10 +27,10 @@
             slot.agent_address,
             slot.availability_zone,
         )
-        number = self.numbers.get(identity)
+        number = self.agent_numbers.get(identity)
         agent = None
         if number is None:
-            number = self.numbers[identity] = len(self.numbers)
+            number = self.agent_numbers[identity] = len(self.agent_numbers)
             agent = masticward_pb2.AgentIdentity(
                 agent_id=slot.agent_id,
                 incarnation=slot.agent_incarnation,
--- a/src/masticward/protocol/dispatch_reports.py
+++ b/src/masticward/protocol/dispatch_reports.py
@@ -15,13 +15,13 @@
 class ReportWriter:
     """Encodes the service reports of one session, on the agent."""
 
-    __slots__ = ("next_ticket", "team_numbers", "ticket_numbers")
+    __slots__ = ("next_ticket_number", "team_numbers", "ticket_numbers")
 
     def __init__(self) -> None:
         self.team_numbers: dict[str, int] = {}
         # Contains only unfinished tickets, so that it does not grow with the session.
         self.ticket_numbers: dict[str, int] = {}
-        self.next_ticket = 0
+        self.next_ticket_number = 0
 
     def write(self, report: dispatch_handler.AgentReport) -> masticward_pb2.ServiceReport:
         """Return the wire form of a report."""
@@ -47,8 +47,8 @@
         """Return the number of a ticket; add the id of a new ticket to the message."""
         number = self.ticket_numbers.get(ticket_id)
         if number is None:
-            number = self.ticket_numbers[ticket_id] = self.next_ticket
-            self.next_ticket += 1
+            number = self.ticket_numbers[ticket_id] = self.next_ticket_number
+            self.next_ticket_number += 1
             message.new_tickets.append(ticket_id)
         return number
 
@@ -56,12 +56,12 @@
 class ReportReader:
     """Decodes the service reports of one session, on the dispatcher."""
 
-    __slots__ = ("next_ticket", "teams", "tickets")
+    __slots__ = ("next_ticket_number", "teams", "tickets")
 
     def __init__(self) -> None:
         self.teams: list[str] = []
         self.tickets: dict[int, str] = {}
-        self.next_ticket = 0
+        self.next_ticket_number = 0
 
     def read(self, message: masticward_pb2.ServiceReport) -> dispatch_handler.AgentReport:
         """Return the report of a message.
@@ -70,8 +70,8 @@
         """
         self.teams.extend(message.new_teams)
         for ticket_id in message.new_tickets:
-            self.tickets[self.next_ticket] = ticket_id
-            self.next_ticket += 1
+            self.tickets[self.next_ticket_number] = ticket_id
+            self.next_ticket_number += 1
         try:
             report = dispatch_handler.AgentReport(
                 counters=values_by_name(self.teams, message.counter_teams, message.counter_totals),
--- a/src/masticward/protocol/dispatch_server.py
+++ b/src/masticward/protocol/dispatch_server.py
@@ -178,13 +178,13 @@
 
     async def read_agent(self, peer: dispatch_handler.AgentPeer, context: SessionContext) -> None:
         """Pass an agent's messages to the dispatcher."""
-        reader = dispatch_reports.ReportReader()
-        forwarded = snapshots.SnapshotReceiver()
+        report_reader = dispatch_reports.ReportReader()
+        snapshot_receiver = snapshots.SnapshotReceiver()
         async with asyncio.timeout(SESSION_TIMEOUT_SECONDS) as session_timeout:
             while (message := await context.read()) is not grpc.aio.EOF:
                 for item in dispatch_batches.split(message):
                     try:
-                        self.receive_from_agent(peer, item, reader, forwarded)
+                        self.receive_from_agent(peer, item, report_reader, snapshot_receiver)
                     except errors.SessionMessageError as error:
                         await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
                     if item.HasField("ping"):
@@ -194,8 +194,8 @@
         self,
         peer: dispatch_handler.AgentPeer,
         message: masticward_pb2.AgentMessage,
-        reader: dispatch_reports.ReportReader,
-        forwarded: snapshots.SnapshotReceiver,
+        report_reader: dispatch_reports.ReportReader,
+        snapshot_receiver: snapshots.SnapshotReceiver,
     ) -> None:
         """Apply one message of an agent. Raises SessionMessageError if it is inconsistent."""
         kind = message.WhichOneof("message")
@@ -203,12 +203,12 @@
             deadline = clocks.deadline_from_remaining_ms(message.offer.remaining_ms)
             self.dispatcher.offer(peer, tuple(message.offer.slot_ids), deadline)
         elif kind == "report":
-            self.dispatcher.report(peer, reader.read(message.report))
+            self.dispatcher.report(peer, report_reader.read(message.report))
         elif kind == "retract":
             self.dispatcher.retract(peer)
         elif kind == "snapshot":
-            if forwarded.apply(message.snapshot):
-                self.dispatcher.offer_snapshot(forwarded.snapshot())
+            if snapshot_receiver.apply(message.snapshot):
+                self.dispatcher.offer_snapshot(snapshot_receiver.snapshot())
         elif kind == "ping":
             pong = masticward_pb2.AgentPong(
                 sequence=message.ping.sequence, waiting=self.dispatcher.waiting
--- a/src/masticward/protocol/gateway_peers.py
+++ b/src/masticward/protocol/gateway_peers.py
@@ -1,7 +1,7 @@
 """UDP datagrams by which gateways report their load, usage and configuration version.
 
-Datagrams fit better than gRPC here: every report supersedes the previous one, so a lost datagram
-is never sent again, and an unresponsive peer holds no connection. docs/platform.md has the
+Datagrams fit better than gRPC here: every message supersedes the previous one, so a lost one need
+not be sent again, and an unresponsive peer holds no connection. docs/platform.md has the
 measurement.
 """
 
@@ -21,7 +21,7 @@
     # Age in seconds of the proof that this version is the newest one; negative without a proof.
     configuration_proof_age: float
     stopping: bool
-    # Digest of the listed endpoints and the zones that are out of service; 0 before they were read.
+    # Digest of the listed endpoints and the zones that are out; 0 while unavailable.
     listing_digest: int
     # By endpoint id: prompt tokens not processed yet, requests, and tokens in memory.
     loads: dict[str, tuple[int, int, int]]
@@ -53,7 +53,7 @@
 
     # Seconds on the sender's boot-time clock; the receiver returns it as ``echo``.
     sent_at: float
-    # The latest ``sent_at`` that the sender received from the receiver; 0 if it received none.
+    # Latest ``sent_at`` that the sender has received from this message's receiver; 0 if none.
     echo: float
     # Incarnation of the receiver that sent ``echo``.
     echo_incarnation: int
--- a/src/masticward/protocol/peers.py
+++ b/src/masticward/protocol/peers.py
@@ -113,8 +113,9 @@
 ) -> result.Result[masticward_pb2.ViewDigest, errors.PeerUnavailableError]:
     """Send a digest to a peer and return the peer's, before a deadline in monotonic seconds.
 
-    With ``wait_for_connection`` the call waits for a connection until the deadline instead of
-    failing while the channel is in back-off.
+    With ``wait_for_connection`` the call waits for a lost connection, at most until the deadline,
+    instead of failing at once. The exchange then takes place as soon as the peer is reachable
+    again, without the delay of a connection back-off.
     """
     stub = masticward_pb2_grpc.PeerStub(pool.get(address))
     return await call(pool, address, stub.Exchange, digest, deadline, wait_for_connection)
--- a/src/masticward/protocol/snapshots.py
+++ b/src/masticward/protocol/snapshots.py
@@ -107,8 +107,8 @@
             if included is not None and not (
                 included.keys() & content.teams.keys() <= totals.keys()
             ):
-                # Changes cannot remove a single total. The agent lacks one of a team that remains,
-                # so it is sent like a new agent, which replaces all its totals.
+                # The base has a total of a remaining team that is gone now. Changes cannot remove
+                # a single total, so the agent is sent like a new one, which replaces all of them.
                 included = None
             changed = {
                 team: total
@@ -152,11 +152,13 @@
         self.sequence = 0
         self.system_virtual_time = 0.0
         self.included_total = 0.0
-        # By team number: name, and virtual time with mean cost.
+        # Team names by team number.
         self.teams: dict[int, str] = {}
-        # By agent number: agent id with incarnation, and included totals by team number.
+        # Agent ids and incarnations by agent number.
         self.agents: dict[int, AgentKey] = {}
+        # Virtual time and mean cost by team number.
         self.values: dict[int, list[float]] = {}
+        # Included totals by agent number and team number.
         self.totals: dict[int, dict[int, float]] = {}
 
     def apply(self, message: masticward_pb2.Snapshot) -> bool:
@@ -238,7 +240,7 @@
         message = to_wire(service, self.snapshot())
         message.sequence = self.sequence
         message.team_numbers.extend(self.teams)
-        # The message omits agents that have totals of removed teams only.
+        # The message omits agents that had totals of removed teams only.
         message.agent_numbers.extend(number for number in self.agents if self.totals[number])
         return message
 
