--- a/src/masticward/gateway/calls.py
+++ b/src/masticward/gateway/calls.py
@@ -212,7 +212,7 @@
     async def call(
         self,
         endpoint: gateway.Endpoint,
-        request_metadata: gateway.RequestMetadata,
+        metadata: gateway.RequestMetadata,
         team: str | None,
         body: bytes,
         remaining_ms: int,
@@ -227,12 +227,12 @@
         channel = connection.channel
         exchange = http1.Exchange(channel)
         headers = self.codec.encode_request(
-            request_metadata, endpoint, team, remaining_ms, len(body), last_event_id
+            metadata, endpoint, team, remaining_ms, len(body), last_event_id
         )
         try:
-            await exchange.send(request_metadata.method, request_metadata.target, headers, body)
+            await exchange.send(metadata.method, metadata.target, headers, body)
             response, response_metadata = await self.read_matching_head(
-                exchange, request_metadata.request_id
+                exchange, metadata.request_id
             )
             if response_metadata.not_run:
                 await exchange.read_body()
--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -149,12 +149,12 @@
 
     def apply_evacuations(self, items: list[tuple[str, bool]], complete: bool) -> None:
         """Apply a listing (``complete``) or changes of the zones that operators evacuated."""
-        zones = set() if complete else set(self.table.out_zones)
+        zones = set() if complete else set(self.table.evacuated_zones)
         for zone, out in items:
             if out:
                 zones.add(zone)
             else:
                 zones.discard(zone)
         services = self.configuration.services if self.configuration else {}
-        if self.table.set_out_zones(zones, clocks.boot_time(), services):
+        if self.table.set_evacuated_zones(zones, clocks.boot_time(), services):
             LOGGER.log(events.Event.ZONES_OUT_CHANGED, zones=sorted(zones))
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -303,7 +303,7 @@
         """Relay a response to the client; return False if another attempt should follow."""
         response, response_metadata = call.response, call.response_metadata
         succeeded = 200 <= response.status < 300
-        if response_metadata.encoded or (succeeded and not response_metadata.proven):
+        if response_metadata.encoded or (succeeded and not response_metadata.signed):
             raise errors.EndpointBrokenError("response was not produced by the endpoint")
         if succeeded and self.route.kind is gateway.RequestKind.STREAM:
             await self.relay_stream(call, reservation, sent_at)
@@ -360,11 +360,11 @@
                 buffered += data
                 data, buffered = split_events(buffered)
                 self.record_event_id(data)
-            await self.forward(call, data)
-        await self.forward(call, buffered)
+            await self.write_to_client(call, data)
+        await self.write_to_client(call, buffered)
         await self.responder.end()
 
-    async def forward(self, call: calls.EndpointCall, data: bytes) -> None:
+    async def write_to_client(self, call: calls.EndpointCall, data: bytes) -> None:
         """Write data of a stream to the client, the response head before the first data."""
         if not data:
             return
@@ -403,7 +403,7 @@
         """Mark the prefill as finished, which the first event shows."""
         if not self.prefilled:
             self.prefilled = True
-            self.fleet.loads.record_prefill(self.endpoint_id, self.choice.unread_tokens)
+            self.fleet.loads.finish_prefill(self.endpoint_id, self.choice.unread_tokens)
 
     def release(self) -> None:
         """Remove the attempt's load from its endpoint."""
--- a/src/masticward/gateway/snapshots.py
+++ b/src/masticward/gateway/snapshots.py
@@ -56,7 +56,7 @@
             for endpoint in fleet.table.endpoints.values()
             if endpoint.id not in fleet.table.missing
         ],
-        out_zones=sorted(fleet.table.out_zones),
+        out_zones=sorted(fleet.table.evacuated_zones),
     )
 
 
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -84,7 +84,7 @@
     @abc.abstractmethod
     def encode_request(
         self,
-        request_metadata: gateway.RequestMetadata,
+        metadata: gateway.RequestMetadata,
         endpoint: gateway.Endpoint,
         team: str | None,
         remaining_ms: int,
--- a/src/masticward/models/gateway.py
+++ b/src/masticward/models/gateway.py
@@ -100,7 +100,7 @@
 
 
 class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """Metadata of a client's request. ``forwarded`` has the headers to send to the endpoint."""
+    """Metadata of a client's request. ``forwarded_headers`` go on to the endpoint."""
 
     request_id: str
     method: bytes
@@ -113,20 +113,21 @@
     output_tokens: int
     parts: tuple[PromptPart, ...]
     last_event_id: str | None
-    forwarded: tuple[tuple[bytes, bytes], ...]
+    forwarded_headers: tuple[tuple[bytes, bytes], ...]
     arrived_at: float
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """Metadata from the headers of an endpoint's response.
 
-    ``proven`` is set if the response carries its proof, ``not_run`` if the endpoint did not
-    execute the request, ``encoded`` if the body has a content encoding, and ``closes`` if the
-    connection ends after the response. ``running`` and ``waiting`` count requests at the endpoint.
+    ``signed`` is set if the response carries the endpoint's signature, ``not_run`` if the
+    endpoint did not execute the request, ``encoded`` if the body has a content encoding, and
+    ``closes`` if the connection ends after the response. ``running`` and ``waiting`` count
+    requests at the endpoint.
     """
 
     request_id: str | None
-    proven: bool
+    signed: bool
     not_run: bool
     encoded: bool
     keep_alive_seconds: float | None
--- a/src/masticward/platform/headers.py
+++ b/src/masticward/platform/headers.py
@@ -114,13 +114,15 @@
             output_tokens=output_tokens,
             parts=parse_prompt_parts(header_text(by_name, names.PROMPT_PARTS)),
             last_event_id=header_text(by_name, names.LAST_EVENT_ID),
-            forwarded=tuple(item for item in headers if item[0].lower() not in removed_names),
+            forwarded_headers=tuple(
+                item for item in headers if item[0].lower() not in removed_names
+            ),
             arrived_at=arrived_at,
         )
 
     def encode_request(
         self,
-        terms: gateway.RequestMetadata,
+        metadata: gateway.RequestMetadata,
         endpoint: gateway.Endpoint,
         team: str | None,
         remaining_ms: int,
@@ -128,14 +130,14 @@
         last_event_id: str | None,
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of the request to an endpoint."""
-        headers = list(terms.forwarded)
+        headers = list(metadata.forwarded_headers)
         headers.append((names.DEADLINE_MS, str(remaining_ms).encode()))
         headers.append((names.EXPECTED_ENDPOINT, endpoint.id.encode()))
         if team is not None:
             headers.append((names.TEAM, team.encode()))
         if last_event_id is not None:
             headers.append((names.LAST_EVENT_ID, last_event_id.encode("latin-1")))
-        if body_bytes or terms.method not in (b"GET", b"HEAD"):
+        if body_bytes or metadata.method not in (b"GET", b"HEAD"):
             headers.append((names.CONTENT_LENGTH, str(body_bytes).encode()))
         return headers
 
@@ -149,7 +151,7 @@
         encoding = by_name.get(names.CONTENT_ENCODING, b"identity").lower()
         return gateway.ResponseMetadata(
             request_id=header_text(by_name, names.REQUEST_ID),
-            proven=names.PROOF in by_name,
+            signed=names.PROOF in by_name,
             not_run=names.NOT_RUN in by_name or status == 421,
             encoded=encoding != b"identity",
             keep_alive_seconds=float(timeout[1]) if timeout else None,
--- a/src/masticward/platform/store.py
+++ b/src/masticward/platform/store.py
@@ -27,7 +27,7 @@
 LOGGER = logs.get_logger(__name__)
 
 
-class Metadata(msgspec.Struct):
+class ObjectMetadata(msgspec.Struct):
     """The metadata that the store maintains for an object."""
 
     name: str
@@ -186,7 +186,7 @@
     An object with valid metadata and invalid content is returned with the value None.
     """
     try:
-        metadata = msgspec.convert(document.get("metadata"), Metadata)
+        metadata = msgspec.convert(document.get("metadata"), ObjectMetadata)
     except msgspec.ValidationError as error:
         LOGGER.log(events.Event.STORED_OBJECT_UNREADABLE, kind=kind.value, error=str(error))
         return None
--- a/src/masticward/state/endpoint_table.py
+++ b/src/masticward/state/endpoint_table.py
@@ -28,9 +28,9 @@
     __slots__ = (
         "cached_digest",
         "endpoints",
+        "evacuated_zones",
         "grace_until",
         "missing",
-        "out_zones",
         "zone_cold_until",
     )
 
@@ -38,7 +38,7 @@
         self.endpoints: dict[str, gateway.Endpoint] = {}
         # Endpoints whose store entries expired during an outage, with the time of their removal.
         self.missing: dict[str, float] = {}
-        self.out_zones: set[str] = set()
+        self.evacuated_zones: set[str] = set()
         # Zones back in service, with the time until which their endpoints count as cold: they may
         # have cooled down meanwhile.
         self.zone_cold_until: dict[str, float] = {}
@@ -105,19 +105,19 @@
             self.endpoints.pop(endpoint_id, None)
             changes.append(Change(endpoint_id, "gone", "not listed after an outage"))
 
-    def set_out_zones(
+    def set_evacuated_zones(
         self, zones: set[str], now: float, services: collections.abc.Mapping[str, gateway.Service]
     ) -> bool:
         """Set the zones that operators have taken out of service; return whether they changed."""
-        if zones == self.out_zones:
+        if zones == self.evacuated_zones:
             return False
         self.cached_digest = None
         longest_cold_start = max(
             (item.cold_start_seconds for item in services.values()), default=0.0
         )
-        for zone in self.out_zones - zones:
+        for zone in self.evacuated_zones - zones:
             self.zone_cold_until[zone] = now + longest_cold_start
-        self.out_zones = set(zones)
+        self.evacuated_zones = set(zones)
         return True
 
     def usable(self, service: str, now: float) -> list[gateway.Endpoint]:
@@ -127,7 +127,7 @@
             for endpoint in self.endpoints.values()
             if endpoint.service == service
             and not endpoint.draining
-            and endpoint.availability_zone not in self.out_zones
+            and endpoint.availability_zone not in self.evacuated_zones
             and self.missing.get(endpoint.id, now + 1) > now
         ]
 
@@ -139,7 +139,7 @@
                 for item in self.endpoints.values()
                 if item.id not in self.missing
             )
-            self.cached_digest = identifiers.stable_hash(*listed, *sorted(self.out_zones))
+            self.cached_digest = identifiers.stable_hash(*listed, *sorted(self.evacuated_zones))
         return self.cached_digest
 
     def cold_until(self, endpoint: gateway.Endpoint) -> float:
--- a/src/masticward/state/load_table.py
+++ b/src/masticward/state/load_table.py
@@ -34,7 +34,7 @@
         add(self.own[endpoint_id], EndpointLoad(unread_tokens, 1, memory_tokens), 1)
         self.changed.add(endpoint_id)
 
-    def record_prefill(self, endpoint_id: str, unread_tokens: int) -> None:
+    def finish_prefill(self, endpoint_id: str, unread_tokens: int) -> None:
         """Subtract the tokens of a request whose prompt has been prefilled."""
         self.own[endpoint_id].unread_tokens -= unread_tokens
         self.changed.add(endpoint_id)
--- a/src/masticward/state/placement.py
+++ b/src/masticward/state/placement.py
@@ -101,7 +101,7 @@
 class EngineState:
     """Snapshot of one engine, computed once for many waiting requests."""
 
-    __slots__ = ("cache", "endpoint", "failure_seconds", "load", "slowness")
+    __slots__ = ("cache", "endpoint", "failure_penalty_seconds", "load", "slowness")
 
     def __init__(
         self, endpoint: gateway.Endpoint, engine: gateway.Engine, view: PlacementView, now: float
@@ -110,7 +110,9 @@
         self.load = view.loads.total(endpoint.id)
         self.cache = view.caches.get(endpoint.id, engine.cache_tokens)
         self.slowness = view.health.get(endpoint.id, now).slowness
-        self.failure_seconds = FAILURE_PENALTY_SECONDS * view.health.failure_ratio(endpoint.id, now)
+        self.failure_penalty_seconds = FAILURE_PENALTY_SECONDS * view.health.failure_ratio(
+            endpoint.id, now
+        )
 
 
 def engine_states(
@@ -136,7 +138,7 @@
     states: collections.abc.Sequence[EngineState],
     engine: gateway.Engine,
     keys: list[tuple[int, int]],
-    terms: gateway.RequestMetadata,
+    metadata: gateway.RequestMetadata,
     recompute_weight: float,
     window_seconds: float,
 ) -> Choice | None:
@@ -159,10 +161,10 @@
     for state in states:
         load = state.load
         cached = state.cache.cached_tokens(keys)
-        unread = max(1, terms.prompt_tokens - cached)
+        unread = max(1, metadata.prompt_tokens - cached)
         expected = (load.unread_tokens + unread) / PREFILL_TOKENS_PER_SECOND
         expected += load.requests * REQUEST_OVERHEAD_SECONDS
-        cost = expected * state.slowness + state.failure_seconds
+        cost = expected * state.slowness + state.failure_penalty_seconds
         if shared_key is not None:
             cost += recompute_weight * max(0, shared_tokens - cached) / PREFILL_TOKENS_PER_SECOND
             if state.endpoint.id == owner_id:
@@ -174,7 +176,7 @@
         cost_seconds=best_cost,
         expected_seconds=best_expected,
         unread_tokens=best_unread,
-        has_capacity=has_capacity(best, engine, terms, best_unread, window_seconds),
+        has_capacity=has_capacity(best, engine, metadata, best_unread, window_seconds),
         slowness=best.slowness,
         owner_id=owner_id,
     )
@@ -198,7 +200,7 @@
 def has_capacity(
     state: EngineState,
     engine: gateway.Engine,
-    terms: gateway.RequestMetadata,
+    metadata: gateway.RequestMetadata,
     unread_tokens: int,
     window_seconds: float,
 ) -> bool:
@@ -206,7 +208,7 @@
     load = state.load
     if load.requests == 0:
         return True
-    memory = load.memory_tokens + terms.prompt_tokens + terms.output_tokens
+    memory = load.memory_tokens + metadata.prompt_tokens + metadata.output_tokens
     if load.requests >= engine.slots or memory > MAX_MEMORY_FRACTION * engine.cache_tokens:
         return False
     if load.unread_tokens <= 0:
--- a/src/masticward/state/team_usage.py
+++ b/src/masticward/state/team_usage.py
@@ -14,9 +14,9 @@
 NEGLIGIBLE_TOKENS = 50.0
 
 
-def charged_tokens(terms: gateway.RequestMetadata) -> int:
+def charged_tokens(metadata: gateway.RequestMetadata) -> int:
     """Return the tokens charged for a request: prompt tokens once, output tokens twice."""
-    return terms.prompt_tokens + 2 * terms.output_tokens
+    return metadata.prompt_tokens + 2 * metadata.output_tokens
 
 
 class TeamUsage:
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -120,7 +120,7 @@
     return fleet
 
 
-def make_terms(
+def make_metadata(
     request_id: str = "q1",
     shared: str = "doc",
     shared_tokens: int = 13_000,
@@ -144,7 +144,7 @@
             gateway.PromptPart(f"own-{request_id}", own_tokens),
         ),
         last_event_id=None,
-        forwarded=(),
+        forwarded_headers=(),
         arrived_at=arrived_at,
     )
 
--- a/tests/unit/test_gateway_peering.py
+++ b/tests/unit/test_gateway_peering.py
@@ -253,11 +253,11 @@
     async def test_a_burst_over_all_gateways_is_distributed_over_the_engines(self) -> None:
         used = []
         for number, (gateway_placer, peers) in enumerate(self.gateways):
-            terms = builders.make_terms(
+            metadata = builders.make_metadata(
                 f"q{number}", f"doc{number % 2}", 1_000, 3_000, arrived_at=self.now
             )
             request = placer.WaitingRequest(
-                terms, builders.make_route(), "llm", "a", self.now + 5.0
+                metadata, builders.make_route(), "llm", "a", self.now + 5.0
             )
             async with asyncio.timeout(5.0):
                 choice = await gateway_placer.place(request)
@@ -271,8 +271,8 @@
     async def test_a_finished_request_is_removed_from_the_peers_load(self) -> None:
         gateway_placer, peers = self.gateways[0]
         other = self.gateways[1][1].fleet
-        terms = builders.make_terms(arrived_at=self.now)
-        request = placer.WaitingRequest(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+        metadata = builders.make_metadata(arrived_at=self.now)
+        request = placer.WaitingRequest(metadata, builders.make_route(), "llm", "a", self.now + 5.0)
         async with asyncio.timeout(5.0):
             choice = await gateway_placer.place(request)
         assert isinstance(choice, placement.Choice)
--- a/tests/unit/test_gateway_state.py
+++ b/tests/unit/test_gateway_state.py
@@ -34,8 +34,8 @@
         self.engine = builders.make_configuration().services["llm"].engine
 
     def choose(self, shared: str, request_id: str = "q", waited: float = 0.0) -> placement.Choice:
-        terms = builders.make_terms(request_id, shared)
-        keys = prompt_cache.prefix_keys(terms.parts)
+        metadata = builders.make_metadata(request_id, shared)
+        keys = prompt_cache.prefix_keys(metadata.parts)
         assert self.engine is not None
         states = placement.engine_states(self.engines, self.engine, self.view, 0.0)
         weight = placement.recompute_weight(waited, 0.8, placement.prefill_utilization(states))
@@ -43,7 +43,7 @@
             states,
             self.engine,
             keys,
-            terms,
+            metadata,
             weight,
             placement.PREFILL_WINDOW_SECONDS,
         )
@@ -60,9 +60,9 @@
     def test_a_request_goes_to_the_engine_that_caches_its_shared_prefix(self) -> None:
         owner = self.choose("doc").endpoint.id
         other = next(item.id for item in self.engines if item.id != owner)
-        terms = builders.make_terms("before")
+        metadata = builders.make_metadata("before")
         cache = self.view.caches.get(other, builders.CACHE_TOKENS)
-        cache.record_prompt(prompt_cache.prefix_keys(terms.parts))
+        cache.record_prompt(prompt_cache.prefix_keys(metadata.parts))
         choice = self.choose("doc")
         self.assertEqual(other, choice.endpoint.id)
         self.assertEqual(3_700, choice.unread_tokens)
@@ -75,7 +75,7 @@
     def test_a_request_that_has_waited_takes_an_idle_engine_instead_of_the_owner(self) -> None:
         owner = self.choose("doc").endpoint.id
         cache = self.view.caches.get(owner, builders.CACHE_TOKENS)
-        cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms("before").parts))
+        cache.record_prompt(prompt_cache.prefix_keys(builders.make_metadata("before").parts))
         self.view.loads.start_request(owner, 40_000, 40_000)
         self.assertEqual(owner, self.choose("doc").endpoint.id)
         self.assertNotEqual(owner, self.choose("doc", waited=0.4).endpoint.id)
@@ -84,7 +84,7 @@
         # Above capacity, recomputing a prefix takes engine time from other requests.
         owner = self.choose("doc").endpoint.id
         cache = self.view.caches.get(owner, builders.CACHE_TOKENS)
-        cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms("before").parts))
+        cache.record_prompt(prompt_cache.prefix_keys(builders.make_metadata("before").parts))
         for engine in self.engines:
             self.view.loads.start_request(engine.id, 12_000, 12_000)
         self.view.loads.start_request(owner, 20_000, 20_000)
@@ -188,9 +188,9 @@
 
     def test_endpoints_of_an_out_zone_are_not_usable_and_cold_when_it_returns(self) -> None:
         services = builders.make_configuration().services
-        self.table.set_out_zones({"z1"}, 10.0, services)
+        self.table.set_evacuated_zones({"z1"}, 10.0, services)
         self.assertEqual([], self.usable(10.0))
-        self.table.set_out_zones(set(), 20.0, services)
+        self.table.set_evacuated_zones(set(), 20.0, services)
         self.assertEqual(["e1"], self.usable(20.0))
         self.assertEqual(23.0, self.table.cold_until(self.endpoint))
 
@@ -327,16 +327,16 @@
 
     def test_a_part_counts_only_after_the_parts_before_it(self) -> None:
         cache = prompt_cache.EngineCache(100_000)
-        first = builders.make_terms("q1", "doc-a").parts
+        first = builders.make_metadata("q1", "doc-a").parts
         cache.record_prompt(prompt_cache.prefix_keys(first))
-        other = (*builders.make_terms("q2", "doc-b").parts[:1], first[1])
+        other = (*builders.make_metadata("q2", "doc-b").parts[:1], first[1])
         self.assertEqual(0, cache.cached_tokens(prompt_cache.prefix_keys(other)))
 
     def test_the_least_recently_used_prefix_is_evicted(self) -> None:
         cache = prompt_cache.EngineCache(40_000)
         for name in ("doc-a", "doc-b"):
-            cache.record_prompt(prompt_cache.prefix_keys(builders.make_terms(name, name).parts))
-        first = prompt_cache.prefix_keys(builders.make_terms("again", "doc-a").parts)
-        second = prompt_cache.prefix_keys(builders.make_terms("again", "doc-b").parts)
+            cache.record_prompt(prompt_cache.prefix_keys(builders.make_metadata(name, name).parts))
+        first = prompt_cache.prefix_keys(builders.make_metadata("again", "doc-a").parts)
+        second = prompt_cache.prefix_keys(builders.make_metadata("again", "doc-b").parts)
         self.assertEqual(0, cache.cached_tokens(first))
         self.assertEqual(13_000, cache.cached_tokens(second))
--- a/tests/unit/test_gateway_waiting.py
+++ b/tests/unit/test_gateway_waiting.py
@@ -37,11 +37,11 @@
     ) -> asyncio.Task[placement.Choice | placer.PlacementRefusal]:
         """Start a task that waits with a request without shared prompt parts."""
         self.request_count += 1
-        terms = builders.make_terms(
+        metadata = builders.make_metadata(
             f"q{self.request_count}", f"doc{self.request_count}", arrived_at=self.now
         )
         request = placer.WaitingRequest(
-            terms, builders.make_route(), "llm", team, refuse_at=self.now + max_wait_seconds
+            metadata, builders.make_route(), "llm", team, refuse_at=self.now + max_wait_seconds
         )
         task = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(task)
@@ -116,15 +116,15 @@
         self.fleet.demand.set_peer_usage(
             "g2", {"flood": 2_000_000.0, "short": 2_000_000.0}, self.now
         )
-        parts = builders.make_terms("before", "doc", 6_000).parts
+        parts = builders.make_metadata("before", "doc", 6_000).parts
         cache = self.fleet.caches.get("e0", builders.CACHE_TOKENS)
         cache.record_prompt(prompt_cache.prefix_keys(parts))
         self.fleet.loads.start_request("e0", 17_400, 17_400)
         for name in ("e1", "e2", "e3"):
             self.fleet.loads.start_request(name, 9_000, 9_000)
-        terms = builders.make_terms("q", "doc", 6_000, 2_000, arrived_at=self.now)
+        metadata = builders.make_metadata("q", "doc", 6_000, 2_000, arrived_at=self.now)
         route = builders.make_route()
-        request = placer.WaitingRequest(terms, route, "llm", "short", self.now + 5.0)
+        request = placer.WaitingRequest(metadata, route, "llm", "short", self.now + 5.0)
         task = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(task)
         await asyncio.sleep(0)
@@ -153,22 +153,22 @@
         # All large requests share a prefix that e1 has cached; e2 is nearly idle.
         engines = [builders.make_endpoint(name) for name in ("e1", "e2")]
         self.fleet.apply_endpoints([(item.id, item) for item in engines], True)
-        shared = prompt_cache.prefix_keys(builders.make_terms("before", "doc", 39_000).parts)
+        shared = prompt_cache.prefix_keys(builders.make_metadata("before", "doc", 39_000).parts)
         self.fleet.caches.get("e1", builders.CACHE_TOKENS).record_prompt(shared)
         self.fleet.loads.start_request("e1", 17_000, 17_000)
         self.fleet.loads.start_request("e2", 1, 1)
         large = []
         for number in range(20):
-            terms = builders.make_terms(f"l{number}", "doc", 39_000, arrived_at=self.now)
+            metadata = builders.make_metadata(f"l{number}", "doc", 39_000, arrived_at=self.now)
             request = placer.WaitingRequest(
-                terms, builders.make_route(), "llm", "a", self.now + 5.0
+                metadata, builders.make_route(), "llm", "a", self.now + 5.0
             )
             large.append(asyncio.get_running_loop().create_task(self.placer.place(request)))
             await asyncio.sleep(0)
         self.tasks += large
         self.assertEqual(0, self.served(large))
-        terms = builders.make_terms("small", "tiny", 300, 1_000, arrived_at=self.now)
-        request = placer.WaitingRequest(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+        metadata = builders.make_metadata("small", "tiny", 300, 1_000, arrived_at=self.now)
+        request = placer.WaitingRequest(metadata, builders.make_route(), "llm", "a", self.now + 5.0)
         small = asyncio.get_running_loop().create_task(self.placer.place(request))
         self.tasks.append(small)
         await asyncio.sleep(0)
@@ -275,9 +275,9 @@
             fleet = builders.make_fleet(cold, now=self.now)
             fleet.started_at = self.now
             restarted_placer = placer.Placer(fleet, lambda *_: None)
-            terms = builders.make_terms(arrived_at=self.now)
+            metadata = builders.make_metadata(arrived_at=self.now)
             request = placer.WaitingRequest(
-                terms, builders.make_route(), "llm", "a", self.now + 5.0
+                metadata, builders.make_route(), "llm", "a", self.now + 5.0
             )
             task = asyncio.get_running_loop().create_task(restarted_placer.place(request))
             self.tasks.append(task)
