--- a/src/masticward/daemons/gateway.py
+++ b/src/masticward/daemons/gateway.py
@@ -128,12 +128,12 @@
         )
         add(
             "masticward_gateway_late_seconds",
-            "smoothed lateness of a timer, in seconds",
+            "smoothed event loop lag, in seconds",
             lambda: self.lag.lag_seconds,
         )
         add(
             "masticward_gateway_live_gateways",
-            "gateways heard lately",
+            "live gateways, this one included",
             lambda: len(fleet.live_gateways),
         )
         add(
@@ -143,7 +143,7 @@
         )
         add(
             "masticward_gateway_repeats",
-            "repeated sends within the window",
+            "retries within the retry budget window",
             lambda: sum(len(budget.retries) for budget in fleet.budgets.values()),
         )
         self.meters.add_labelled_gauge(
@@ -172,7 +172,8 @@
     def ready(self) -> bool:
         """Return whether the load balancer should send new connections here; log each change.
 
-        With unproven API keys, the process is unready only while a peer can verify keys.
+        Without a recent proof of the configuration, the process is unready only while a peer has
+        one.
         """
         fleet = self.fleet
         ready = (
--- a/src/masticward/gateway/calls.py
+++ b/src/masticward/gateway/calls.py
@@ -22,8 +22,8 @@
 # Keeping connections idle for longer gains nothing: each counts against max_connections.
 MAX_IDLE_SECONDS = 15.0
 # Some endpoints drop idle connections without notice. After such a drop, connections of that
-# service are reused only if they were idle for at most this fraction of that time. The limit
-# doubles after each further period.
+# service are reused only if they were idle for at most this fraction of the dropped
+# connection's idle time. The limit doubles after each REUSE_LIMIT_DOUBLING_SECONDS.
 REUSE_LIMIT_FRACTION = 0.5
 MIN_REUSE_LIMIT_SECONDS = 0.1
 REUSE_LIMIT_DOUBLING_SECONDS = 10.0
@@ -39,7 +39,7 @@
 
 
 class IdleConnection(msgspec.Struct):
-    """An idle connection. Times are seconds of ``clocks.boot_time``."""
+    """An idle connection. Times are in seconds of ``clocks.boot_time``."""
 
     channel: http1.Channel
     idle_since: float
@@ -61,7 +61,7 @@
 
 
 class ConnectionPool:
-    """The idle connections to all endpoints, by endpoint id."""
+    """The idle connections to all endpoints, by endpoint ID."""
 
     def __init__(self, fleet: fleet_module.FleetState) -> None:
         self.fleet = fleet
@@ -113,9 +113,9 @@
     def release(
         self, endpoint: gateway.Endpoint, channel: http1.Channel, keep_alive_seconds: float | None
     ) -> None:
-        """Keep a connection for reuse, or close it if the limits don't allow that.
+        """Keep a connection for reuse, or close it if the limits do not allow that.
 
-        ``keep_alive_seconds`` is the time-out that the endpoint announced, None without one.
+        ``keep_alive_seconds`` is the timeout that the endpoint announced, None without one.
         """
         now = clocks.boot_time()
         max_idle_seconds = DEFAULT_IDLE_SECONDS
@@ -192,7 +192,7 @@
         self.pool = ConnectionPool(fleet)
 
     async def connect(self, endpoint: gateway.Endpoint) -> Connection:
-        """Return an idle or a new connection; raises EndpointNotStartedError."""
+        """Return an idle or a new connection; raise EndpointNotStartedError if that fails."""
         idle = self.pool.acquire(endpoint)
         if idle is not None:
             return idle
@@ -201,11 +201,11 @@
         try:
             return Connection(await http1.connect(address, CONNECT_TIMEOUT_SECONDS), None)
         except errors.EndpointNotStartedError:
-            pause_seconds = self.fleet.health.record_unreachable(endpoint.id, clocks.boot_time())
+            backoff_seconds = self.fleet.health.record_unreachable(endpoint.id, clocks.boot_time())
             LOGGER.log(
                 events.Event.GATEWAY_ENDPOINT_UNREACHABLE,
                 endpoint=endpoint.id,
-                pause_seconds=pause_seconds,
+                pause_seconds=backoff_seconds,
             )
             raise
 
@@ -221,7 +221,7 @@
     ) -> EndpointCall:
         """Send a request and read the head of its response.
 
-        Raises EndpointNotStartedError if the request certainly did not run, EndpointBrokenError
+        Raise EndpointNotStartedError if the request certainly did not run, EndpointBrokenError
         if it may have run.
         """
         channel = connection.channel
@@ -255,7 +255,7 @@
     ) -> tuple[http1.Answer, gateway.ResponseMetadata]:
         """Return the head of the response to this request, skipping responses to others.
 
-        Raises EndpointBrokenError after ``MAX_STRAY_RESPONSES`` of those.
+        Raise EndpointBrokenError after ``MAX_STRAY_RESPONSES`` of those.
         """
         for _ in range(MAX_STRAY_RESPONSES + 1):
             response = await exchange.read_head()
--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -20,7 +20,7 @@
 
 
 class FleetState:
-    """The fleet as this process sees it. Times are seconds of ``clocks.boot_time``.
+    """The fleet as this process sees it. Times are in seconds of ``clocks.boot_time``.
 
     A proof is a read of the store which shows that the configuration in force is the newest one.
     API keys are accepted only while the latest proof, a peer's or this process's own, is recent
@@ -46,9 +46,9 @@
         self.cold_start_limiter = cold_start.ColdStartLimiter()
         self.budgets: dict[str, retry_window.WindowedRetryBudget] = {}
         self.view = placement.PlacementView(self.loads, self.caches, self.health)
-        # Ids of gateways with a recent datagram that are not stopping, and of this one.
+        # IDs of this gateway and of those with a recent datagram that are not stopping.
         self.live_gateways: list[str] = [settings.instance_id]
-        # All gateways ever seen, live or not; fleet-wide budgets are divided among them.
+        # All gateways discovered so far, live or not; fleet-wide budgets are divided among them.
         self.known_gateway_count = 1
         self.routes_by_host: dict[str, list[gateway.Route]] = {}
 
@@ -150,8 +150,8 @@
     def apply_evacuations(self, items: list[tuple[str, bool]], complete: bool) -> None:
         """Apply a listing (``complete``) or changes of the zones that operators evacuated."""
         zones = set() if complete else set(self.table.evacuated_zones)
-        for zone, out in items:
-            if out:
+        for zone, evacuated in items:
+            if evacuated:
                 zones.add(zone)
             else:
                 zones.discard(zone)
--- a/src/masticward/gateway/followers.py
+++ b/src/masticward/gateway/followers.py
@@ -14,8 +14,8 @@
 WATCH_TIMEOUT_SECONDS = 15.0
 MIN_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 0.6
-# Endpoints lapse after three missed pings, at the earliest 2.4 s after the start of an outage.
-# Shorter outages need neither a new listing nor a grace period.
+# The store entry of an endpoint expires after three missed heartbeats, at the earliest 2.4 s after
+# the start of an outage. Shorter outages need neither a new listing nor a grace period.
 MIN_OUTAGE_SECONDS = 2.0
 LOGGER = logs.get_logger(__name__)
 
@@ -33,14 +33,14 @@
         self.fleet = fleet
         self.kind = kind
         self.store_unavailable = False
-        # During an outage: the latest time at which the store answered any gateway.
+        # During an outage: the latest time at which the store responded to any gateway.
         self.unavailable_since = 0.0
         self.last_response_at = clocks.boot_time()
-        # Set when peers have changes that this process lacks, as its watch may hang.
+        # Set when peers have changes that this process lacks, because its watch may hang.
         self.relist_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """List and watch the objects until cancelled."""
         revision: int | None = None
         retry_seconds = MIN_RETRY_SECONDS
         while True:
@@ -96,7 +96,7 @@
             )
 
     def record_response(self) -> None:
-        """Record a successful call; after an outage, log its end and start the endpoints' grace."""
+        """Record a successful call; after an outage, log its end and start the grace period."""
         now = clocks.boot_time()
         if self.store_unavailable:
             outage_seconds = now - self.unavailable_since
@@ -126,7 +126,7 @@
             )
 
     def apply_configuration_listing(self, listing: sources.Listing, requested_at: float) -> None:
-        """Apply a configuration; a watch without changes proves the one in force again."""
+        """Apply a configuration; a watch without changes proves that the current one is newest."""
         configurations = [
             item.value
             for item in listing.items
--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -71,7 +71,7 @@
         await responder.send(refusal.status, headers, b"")
 
     def authorize(self, metadata: gateway.RequestMetadata) -> tuple[gateway.Route, str | None]:
-        """Return the route and the team of a request; raises RefusalError."""
+        """Return the route and the team of a request; raise RefusalError if it is not allowed."""
         fleet = self.fleet
         configuration = fleet.configuration
         if configuration is None or not fleet.endpoints_known:
--- a/src/masticward/gateway/gateway_metrics.py
+++ b/src/masticward/gateway/gateway_metrics.py
@@ -24,7 +24,7 @@
         )
         self.failed_attempts = prometheus_client.Counter(
             "masticward_gateway_failed_attempts",
-            "sends to endpoints without a whole answer",
+            "attempts at endpoints without a complete response",
             ["outcome"],
             registry=process_metrics.registry,
         )
--- a/src/masticward/gateway/peering.py
+++ b/src/masticward/gateway/peering.py
@@ -25,7 +25,7 @@
 ROUNDS_PER_REPORT_TO_SILENT_PEERS = 10
 ROUNDS_PER_MEMBER_LIST = 5
 # Watches deliver changes to all gateways within this time unless a watch hangs. A listing requested
-# after it still applies changes within the bounds on draining and evacuation.
+# after this time is still early enough for the bounds on draining and evacuation.
 LISTING_MISMATCH_SECONDS = 0.8
 # Shortest time between two listings that are requested because of a mismatch.
 MIN_RELIST_INTERVAL_SECONDS = 2.0
@@ -40,7 +40,7 @@
 
 
 class Peer:
-    """Another gateway. Times are seconds of this process's ``clocks.boot_time``."""
+    """Another gateway. Times are in seconds of this process's ``clocks.boot_time``."""
 
     __slots__ = (
         "incarnation",
@@ -111,10 +111,10 @@
         self.transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore errors of single datagrams; an unreachable peer is detected by its silence."""
+        """Ignore errors of single datagrams; the liveness timeout covers unreachable peers."""
 
     def announce_prompt(self, endpoint_id: str, keys: list[tuple[int, int]]) -> None:
-        """Queue a placed prompt for the peers.
+        """Queue a placed prompt for the next message to the peers.
 
         ``keys`` holds key and tokens of each prefix; the last one covers the request's own part,
         which no other request shares, and is left out.
@@ -141,7 +141,7 @@
             await asyncio.sleep(
                 max(MIN_CHANGES_INTERVAL_SECONDS, live_peer_count / CHANGES_DATAGRAMS_PER_SECOND)
             )
-            # Finished requests alone wait for the next report or the next placed request.
+            # Finished requests alone cause no message; the next report or placed request has them.
             if self.unsent_prompts or self.has_unsent_request:
                 self.send_changes()
 
@@ -186,7 +186,7 @@
             await asyncio.sleep(wait_seconds)
 
     def add_peer(self, instance_id: str, ip: str) -> Peer | None:
-        """Return the peer with this id, creating it if needed; None for this process."""
+        """Return the peer with this ID, creating it if needed; None for this process."""
         if instance_id == self.fleet.settings.instance_id:
             return None
         peer = self.peers.get(instance_id)
@@ -196,7 +196,7 @@
         return peer
 
     def update_liveness(self) -> None:
-        """Update the list of live gateways and drop the loads of silent ones."""
+        """Update the list of live gateways and drop the loads of peers that are not live."""
         now = clocks.boot_time()
         self.fleet.loads.remove_stale_peers(now)
         live_ids = [self.fleet.settings.instance_id]
@@ -259,7 +259,7 @@
                     self.send_to(ip, gateway_peers.encode(message))
 
     def send_message(self, peer: Peer, content: msgspec.Raw) -> None:
-        """Send one datagram that returns the peer's newest send time."""
+        """Send one datagram that echoes the newest send time received from the peer."""
         message = gateway_peers.PeerMessage(
             clocks.boot_time(), peer.newest_sent_at, peer.incarnation, content
         )
@@ -271,7 +271,7 @@
             self.transport.sendto(data, (ip, self.fleet.settings.peer_port))
 
     def build_report(self) -> gateway_peers.PeerFigures:
-        """Return the current status report and reset what it covers."""
+        """Return the current status report and clear the pending changes that it covers."""
         fleet = self.fleet
         now = clocks.boot_time()
         fleet.usage.decay(now)
@@ -323,7 +323,7 @@
         if peer is None or changes.incarnation != peer.incarnation:
             return
         if message.sent_at <= peer.newest_sent_at:
-            return  # overtaken by a newer datagram
+            return  # reordered: a newer datagram was already applied
         peer.newest_sent_at = message.sent_at
         peer.received_at = now
         loads = {key: load_table.EndpointLoad(*value) for key, value in changes.loads.items()}
@@ -343,7 +343,7 @@
         if report.incarnation < peer.incarnation and recently_seen:
             return
         if report.incarnation == peer.incarnation and message.sent_at <= peer.newest_sent_at:
-            return  # overtaken by a newer datagram
+            return  # reordered: a newer datagram was already applied
         peer.incarnation = report.incarnation
         peer.newest_sent_at = message.sent_at
         peer.received_at = now
@@ -386,7 +386,7 @@
 
         The peer built its message after it had received the one that it echoes, so the proof is
         not older than the echoed send time minus the stated age. The time of receipt is no such
-        bound: a datagram may have been queued while this process was suspended.
+        bound, because a datagram may have been queued while this process was suspended.
         """
         configuration = self.fleet.configuration
         if (
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -14,8 +14,8 @@
 # The queues are scanned periodically because changes of the peers' loads trigger no event here.
 QUEUE_SCAN_SECONDS = 0.02
 # Once this many requests of a scan found no endpoint, the rest are only checked for refusal. The
-# limit is not lower so that small requests are still tried behind large ones that wait for the
-# engines which cache their shared prefixes.
+# limit is high enough that small requests are still tried behind large ones, which wait for the
+# engines that cache their shared prefixes.
 MAX_FAILED_CHOICES = 60
 # Largest fraction of processor time spent on scanning long queues.
 SCAN_CPU_FRACTION = 0.2
@@ -40,14 +40,14 @@
     expected_wait_seconds: float
     # Uncached prompt tokens of the requests before this one in this gateway's queue.
     tokens_ahead: int
-    # Endpoints that were neither paused nor, as cold ones, at their request rate.
+    # Endpoints that were neither in backoff nor cold with a used-up request rate.
     candidate_count: int
     # Whether the request's team was above its fair share.
     over_share: bool
 
 
 class WaitingRequest:
-    """A request that waits for an endpoint. Times are seconds of ``clocks.boot_time``."""
+    """A request that waits for an endpoint. Times are in seconds of ``clocks.boot_time``."""
 
     __slots__ = (
         "arrived_at",
@@ -110,7 +110,7 @@
         self.engine_states: list[placement.EngineState] = []
         self.prefill_utilization = 0.0
         # Widest prefill window for which no engine has capacity; valid for the whole scan, because
-        # engines only fill up during one.
+        # a scan only adds load to engines.
         self.full_window_seconds = 0.0
         if self.engine is not None:
             self.engine_states = placement.engine_states(
@@ -236,7 +236,7 @@
                 queue.remove(request)
 
     def process_queue(self, service: str) -> None:
-        """Assign endpoints to the waiting requests of a service and refuse those too late."""
+        """Assign endpoints to a service's waiting requests; refuse those that would be too late."""
         queue = self.queues.get(service)
         if not queue:
             self.queues.pop(service, None)
@@ -292,8 +292,8 @@
     ) -> float:
         """Return this gateway's expected share of the engines' prefill rate, in tokens per second.
 
-        The balancer distributes clients unevenly, so the share is the gateway's fraction of all
-        arriving tokens, and at least an equal share among the live gateways.
+        The load balancer distributes clients unevenly, so the share is the gateway's fraction of
+        all arriving tokens, and at least an equal share among the live gateways.
         """
         engines = max(1, len(self.fleet.table.usable(service, now)))
         total = sum(demand.values())
@@ -329,7 +329,7 @@
         return [endpoint for endpoint in usable if self.is_candidate(endpoint, now)]
 
     def is_candidate(self, endpoint: gateway.Endpoint, now: float) -> bool:
-        """Return whether an endpoint is not paused and is warm or within its cold-start rate."""
+        """Return whether an endpoint is out of backoff, and warm or within its cold-start rate."""
         configuration = self.fleet.configuration
         service = configuration.services.get(endpoint.service) if configuration else None
         return (
--- a/src/masticward/gateway/prover.py
+++ b/src/masticward/gateway/prover.py
@@ -1,4 +1,7 @@
-"""Renews the proof that the configuration in force is the newest, with few calls per fleet."""
+"""Renews the proof that the configuration in force is the newest one.
+
+Gateways share their proofs, so that the whole fleet makes few store calls.
+"""
 
 import asyncio
 import collections.abc
@@ -9,14 +12,14 @@
 from masticward.gateway import followers, sources
 from masticward.utils import clocks
 
-# Age at which a proof is renewed. API keys need a proof that is younger than revoke_seconds (5 s at
-# the users' sites).
+# Age at which a proof is renewed. API keys need a proof that is younger than revoke_seconds (5 s by
+# default).
 RENEWAL_AGE_SECONDS = 1.0
 # Random delay added to that age, so that the first gateway to renew its proof can share it with the
 # others, which then need no call.
 RENEWAL_JITTER_SECONDS = 1.0
 POLL_SECONDS = 0.1
-# Shortest time between two reads, while the store does not answer or a peer has a newer version.
+# Shortest time between two reads while the store does not respond or a peer has a newer version.
 MIN_READ_INTERVAL_SECONDS = 0.4
 LOGGER = logs.get_logger(__name__)
 
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -15,17 +15,17 @@
 
 # The final response is sent this long before the client's deadline, to arrive in time.
 RESPONSE_MARGIN_SECONDS = 0.03
-# An attempt is not worth making with less time than this.
+# Shortest remaining time with which an attempt is made.
 MIN_ATTEMPT_SECONDS = 0.02
 STALE_PROOF_RETRY_AFTER_SECONDS = 0.5
 # A healthy endpoint begins its response within its expected time multiplied by the factor, plus the
-# margin. Replicas that lose a response send nothing at all; clients abandon a stream after a gap of
-# 2 s or more.
+# margin. Endpoints that lose a response send nothing at all; clients abandon a stream after a gap
+# of 2 s or more.
 RESPONSE_TIMEOUT_FACTOR = 3.0
 STREAM_RESPONSE_MARGIN_SECONDS = 1.2
 PLAIN_RESPONSE_MARGIN_SECONDS = 0.35
 # Longest gap within a response before the request is retried or the stream is resumed at another
-# endpoint; the service sheets allow gaps of 0.3 to 0.4 s.
+# endpoint; the services' specifications allow gaps of 0.3 to 0.4 s.
 READ_TIMEOUT_SECONDS = 1.2
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?([^\r\n]*)")
@@ -34,7 +34,7 @@
 
 
 class RefusalError(errors.MasticwardError):
-    """Raised when the gateway answers a request itself; ``status`` is the HTTP status."""
+    """Raised when the gateway refuses a request itself; ``status`` is the HTTP status."""
 
     def __init__(self, status: int, reason: str, retry_after_seconds: float | None = None) -> None:
         super().__init__(reason)
@@ -79,7 +79,7 @@
 
 
 def require_fresh_proof(fleet: fleet_module.FleetState) -> None:
-    """Raise RefusalError if an API key may have been revoked unknown to this process."""
+    """Raise RefusalError if the latest proof is too old to exclude revoked API keys."""
     if not fleet.proof_is_fresh(clocks.boot_time()):
         raise RefusalError(503, "API keys cannot be verified", STALE_PROOF_RETRY_AFTER_SECONDS)
 
@@ -121,7 +121,7 @@
         )
 
     async def run(self) -> None:
-        """Serve the request; raises RefusalError unless a response was started."""
+        """Serve the request; raise RefusalError if it fails before a response was started."""
         self.fleet.budget(self.service).record_request(clocks.boot_time())
         try:
             async with asyncio.timeout(max(0.0, self.response_deadline - clocks.boot_time())):
@@ -284,7 +284,7 @@
     ) -> StepT:
         """Await a step of an endpoint's response.
 
-        Raises EndpointBrokenError on time-out. The time-out applies only while the request may
+        Raise EndpointBrokenError on a timeout. The timeout applies only while the request may
         run again at another endpoint.
         """
         if not self.may_retry():
@@ -295,7 +295,9 @@
         except TimeoutError:
             if not timeout.expired():
                 raise
-            raise errors.EndpointBrokenError(f"silent for {timeout_seconds:.2f} s") from None
+            raise errors.EndpointBrokenError(
+                f"no response data for {timeout_seconds:.2f} s"
+            ) from None
 
     async def relay(
         self, call: calls.EndpointCall, reservation: "LoadReservation", sent_at: float
@@ -375,7 +377,7 @@
         await self.responder.write(data)
 
     def record_event_id(self, data: bytes) -> None:
-        """Store the id of the last event in data that is sent to the client."""
+        """Store the ID of the last event in data that is sent to the client."""
         event_ids = EVENT_ID.findall(data)
         if event_ids:
             self.progress.last_event_id = event_ids[-1].decode("latin-1")
@@ -414,7 +416,7 @@
 
 
 def choose_service(route: gateway.Route, request_id: str) -> str:
-    """Return the service of a request by the weights of its route; stable for a request id."""
+    """Return the service of a request by the weights of its route; stable for a request ID."""
     if len(route.shares) == 1:
         return route.shares[0].service
     total = sum(share.weight for share in route.shares)
--- a/src/masticward/gateway/snapshots.py
+++ b/src/masticward/gateway/snapshots.py
@@ -13,7 +13,7 @@
 from masticward.utils import clocks
 
 POLL_SECONDS = 0.2
-# A working store answers within this time. After it, missing data is fetched from a peer.
+# A working store responds within this time. After it, missing data is fetched from a peer.
 PEER_FALLBACK_SECONDS = 0.7
 CONNECT_TIMEOUT_SECONDS = 0.5
 FETCH_TIMEOUT_SECONDS = 1.0
@@ -61,7 +61,7 @@
 
 
 class SnapshotFetcher:
-    """Fetches a peer's snapshot while this process is behind and the store does not answer."""
+    """Fetches a peer's snapshot while this process is behind and the store does not respond."""
 
     def __init__(
         self,
@@ -95,6 +95,7 @@
             return True
         if fleet.newest_peer_version > fleet.configuration.version:
             return True
+        # While the store responds, the follower's own listing resolves the difference.
         self.listing_differs &= self.followers_by_kind[
             sources.ObjectKind.ENDPOINTS
         ].store_unavailable
@@ -114,7 +115,7 @@
         self.listing_differs = False
         apply_snapshot(self.fleet, snapshot, requested_at, peer.instance_id)
         for kind in (sources.ObjectKind.ENDPOINTS, sources.ObjectKind.EVACUATIONS):
-            # The store's listing replaces the peer's as soon as the store answers.
+            # The store's listing replaces the peer's as soon as the store responds.
             self.followers_by_kind[kind].relist_requested.set()
 
     def best_peer(self) -> peering.Peer | None:
@@ -134,7 +135,7 @@
 
 
 async def fetch_snapshot(address: tuple[str, int]) -> gateway_snapshots.Snapshot:
-    """Fetch a peer's snapshot; raises PeerSnapshotError."""
+    """Fetch a peer's snapshot; raise PeerSnapshotError if that fails."""
     channel = None
     try:
         channel = await http1.connect(address, CONNECT_TIMEOUT_SECONDS)
--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -79,7 +79,7 @@
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
     ) -> gateway.RequestMetadata:
-        """Return the metadata of a client's request; raises BadRequestError."""
+        """Return the metadata of a client's request; raise BadRequestError if it is invalid."""
 
     @abc.abstractmethod
     def encode_request(
--- a/src/masticward/models/gateway.py
+++ b/src/masticward/models/gateway.py
@@ -24,7 +24,11 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """A route, matched by host and path prefix."""
+    """A route, matched by host and path prefix.
+
+    Requests of a ``public`` route need no API key. A broken stream of a ``resumable`` route is
+    resumed at another endpoint after the last event that was sent to the client.
+    """
 
     name: str
     host: str
@@ -139,8 +143,9 @@
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
     """Limits that apply to the fleet as a whole.
 
-    API keys are accepted only with a proof of the configuration that is younger than
-    ``revoke_seconds``. Within ``retry_window_seconds``, retries of a service are limited to
+    API keys are accepted only while the latest proof that the configuration is the newest one is
+    younger than ``revoke_seconds``. The platform kills a stopping process after
+    ``stop_grace_seconds``. Within ``retry_window_seconds``, retries of a service are limited to
     ``retry_ratio`` times its requests plus ``retry_slack``. A cold endpoint gets at most its
     rate times ``cold_overage`` plus ``cold_slack`` requests per second.
     """
--- a/src/masticward/platform/headers.py
+++ b/src/masticward/platform/headers.py
@@ -11,7 +11,7 @@
 
 REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,200}\Z")
 KEEP_ALIVE_TIMEOUT_PATTERN = re.compile(rb"(?:^|[ ,;])timeout=(\d+)", re.IGNORECASE)
-# Deadline of a request that has none: the longest one that callers of the platform use.
+# Deadline of a request that has none: the longest one that the platform's clients use.
 DEFAULT_DEADLINE_SECONDS = 10.0
 
 
@@ -152,6 +152,7 @@
         return gateway.ResponseMetadata(
             request_id=header_text(by_name, names.REQUEST_ID),
             signed=names.PROOF in by_name,
+            # 421 is Misdirected Request: the request was meant for another endpoint.
             not_run=names.NOT_RUN in by_name or status == 421,
             encoded=encoding != b"identity",
             keep_alive_seconds=float(timeout[1]) if timeout else None,
--- a/src/masticward/platform/store.py
+++ b/src/masticward/platform/store.py
@@ -51,7 +51,7 @@
 
 
 class WatchBody(msgspec.Struct):
-    """Changes after the revision of a watch."""
+    """Changes after the requested revision."""
 
     events: list[WatchEvent]
     current_rev: int
@@ -74,7 +74,7 @@
         timeout_seconds: float,
         document: typing.Any = None,
     ) -> tuple[int, bytes]:
-        """Make one call and return its status and body.
+        """Make one HTTP call and return its status and body.
 
         Raise StoreUnavailableError if there is no complete response in time.
         """
--- a/src/masticward/state/cold_start.py
+++ b/src/masticward/state/cold_start.py
@@ -4,8 +4,9 @@
 
 # Number of gateways that may send to one cold endpoint, so that each has a usable rate.
 MAX_SENDERS = 3
-# A new process receives messages from all its peers within this time. Until then it cannot tell
-# which gateways share the rate: 26 gateways started together sent 21 requests in one second.
+# A new process receives messages from all its peers within this time. Until then its list of live
+# gateways, which share the rate, is incomplete and it sends nothing to cold endpoints. Without this
+# delay, 26 gateways that started together sent 21 requests in one second.
 PEER_DISCOVERY_SECONDS = 2.0
 
 
@@ -16,7 +17,10 @@
 
 
 class ColdStartLimiter:
-    """Spaces this process's requests to cold endpoints. Times are in seconds of ``boot_time``."""
+    """Limits the rate of this process's requests to each cold endpoint.
+
+    Times are in seconds of ``clocks.boot_time``.
+    """
 
     __slots__ = ("next_send_at",)
 
--- a/src/masticward/state/endpoint_health.py
+++ b/src/masticward/state/endpoint_health.py
@@ -9,7 +9,8 @@
 
 # Time constant of the exponential decay of success and failure counts.
 DECAY_SECONDS = 5.0
-# Successes assumed for an endpoint without recorded outcomes.
+# Added to the recorded successes, so that one failure of a rarely used endpoint does not give a
+# failure ratio of 1.
 PRIOR_SUCCESSES = 3.0
 # Exponential backoff for unreachable endpoints.
 MIN_BACKOFF_SECONDS = 0.5
@@ -63,7 +64,7 @@
         health.backoff_until = 0.0
 
     def record_failure(self, endpoint_id: str, now: float, weight: float = 1.0) -> None:
-        """Count a broken or failed response."""
+        """Count a broken or failed response as ``weight`` failures."""
         self.get(endpoint_id, now).failures += weight
 
     def record_unreachable(self, endpoint_id: str, now: float) -> float:
--- a/src/masticward/state/endpoint_table.py
+++ b/src/masticward/state/endpoint_table.py
@@ -15,7 +15,10 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A state change of an endpoint: "added", "draining" or "gone"."""
+    """A state change of an endpoint: "added", "draining" or "gone".
+
+    A new incarnation of a listed endpoint also counts as "added".
+    """
 
     endpoint_id: str
     state: str
@@ -36,11 +39,12 @@
 
     def __init__(self) -> None:
         self.endpoints: dict[str, gateway.Endpoint] = {}
-        # Endpoints whose store entries expired during an outage, with the time of their removal.
+        # Endpoints whose store entries expired during an outage, with the time at which they
+        # are removed.
         self.missing: dict[str, float] = {}
         self.evacuated_zones: set[str] = set()
         # Zones back in service, with the time until which their endpoints count as cold: they may
-        # have cooled down meanwhile.
+        # have lost their warm state while they received no requests.
         self.zone_cold_until: dict[str, float] = {}
         self.grace_until = 0.0
         # None while the digest is out of date.
@@ -76,7 +80,7 @@
         return changes
 
     def put(self, endpoint: gateway.Endpoint, changes: list[Change]) -> None:
-        """Add or replace an endpoint."""
+        """Add or replace an endpoint, and append its state changes to ``changes``."""
         previous = self.endpoints.get(endpoint.id)
         self.missing.pop(endpoint.id, None)
         self.endpoints[endpoint.id] = endpoint
@@ -108,7 +112,7 @@
     def set_evacuated_zones(
         self, zones: set[str], now: float, services: collections.abc.Mapping[str, gateway.Service]
     ) -> bool:
-        """Set the zones that operators have taken out of service; return whether they changed."""
+        """Set the zones that operators have evacuated; return whether they changed."""
         if zones == self.evacuated_zones:
             return False
         self.cached_digest = None
@@ -132,7 +136,7 @@
         ]
 
     def digest(self) -> int:
-        """Return a hash of the listed endpoints and out zones that is the same in all processes."""
+        """Return a hash of the listed endpoints and evacuated zones, the same in all processes."""
         if self.cached_digest is None:
             listed = sorted(
                 f"{item.id} {item.born} {item.draining}"
--- a/src/masticward/state/load_table.py
+++ b/src/masticward/state/load_table.py
@@ -35,7 +35,7 @@
         self.changed.add(endpoint_id)
 
     def finish_prefill(self, endpoint_id: str, unread_tokens: int) -> None:
-        """Subtract the tokens of a request whose prompt has been prefilled."""
+        """Subtract the unread tokens of a request that is prefilled; the request stays counted."""
         self.own[endpoint_id].unread_tokens -= unread_tokens
         self.changed.add(endpoint_id)
 
@@ -50,7 +50,7 @@
         self.changed.add(endpoint_id)
 
     def pop_changed(self) -> dict[str, EndpointLoad]:
-        """Return the own loads changed since the last call; zero if no requests are left."""
+        """Return this process's loads that changed since the last call; zero loads if finished."""
         changed = {item: self.own.get(item) or EndpointLoad() for item in self.changed}
         self.changed.clear()
         return changed
@@ -63,7 +63,7 @@
             add(self.peer_totals[endpoint_id], load, 1)
 
     def update_peer_loads(self, peer: str, loads: dict[str, EndpointLoad], now: float) -> None:
-        """Replace the given loads of a peer; its other loads stay."""
+        """Replace a peer's loads at the given endpoints and keep its loads at others."""
         _, peer_loads = self.peers.get(peer, (now, {}))
         self.peers[peer] = (now, peer_loads)
         for endpoint_id, load in loads.items():
--- a/src/masticward/state/loop_lag.py
+++ b/src/masticward/state/loop_lag.py
@@ -1,6 +1,6 @@
 """Overload detection from the event loop lag."""
 
-# Callers abandon a connection that is not read within 1 s, and half of that time is lost elsewhere.
+# Clients abandon a connection that is not read within 1 s, and other delays take half of that time.
 OVERLOAD_LAG_SECONDS = 0.2
 RECOVERY_LAG_SECONDS = 0.05
 # The load balancer moves clients after two failed readiness checks, 1 s apart; a shorter overload
--- a/src/masticward/state/placement.py
+++ b/src/masticward/state/placement.py
@@ -28,20 +28,20 @@
 AFFINITY_WAIT_FRACTION = 0.4
 # Cost reduction for the owner of a shared prefix, as a fraction of the prefix's prefill time.
 OWNER_PREFERENCE_FRACTION = 0.35
-# Longest prefill backlog at which an engine is sent more requests. The others wait in the gateways,
-# which decide their order.
+# Prefill window: the longest prefill backlog up to which an engine is sent requests. Other requests
+# wait in the gateways, which decide their order.
 PREFILL_WINDOW_SECONDS = 0.35
-# Window of a team above its fair share, divided by its excess. It still keeps engines busy and
-# leaves the rest of the regular window to other teams.
+# Prefill window of a team above its fair share, before division by the team's excess. It is long
+# enough to keep engines busy and leaves the rest of PREFILL_WINDOW_SECONDS to other teams.
 OVER_SHARE_WINDOW_SECONDS = 0.22
-# Smallest window of any team: load updates reach a busy gateway up to 60 ms late, and engines must
-# not run idle in the meantime.
+# Smallest prefill window of any team: load updates reach a busy gateway up to 60 ms late, and
+# engines must not run idle in the meantime.
 MIN_WINDOW_SECONDS = 0.06
 # Fraction of an engine's cache tokens that running requests may occupy.
 MAX_MEMORY_FRACTION = 0.9
 # Owners are cached because each placement attempt would otherwise hash all endpoints again.
 OWNER_CACHE_ENTRIES = 4096
-# Expected wait at a plain endpoint per request ahead, divided by the number of slots.
+# Expected duration of a request at a plain endpoint, whose slots execute requests in parallel.
 PLAIN_REQUEST_SECONDS = 0.03
 
 
@@ -50,7 +50,8 @@
 
     endpoint: gateway.Endpoint
     cost_seconds: float
-    # Expected time to the first event at an endpoint of normal speed, without preferences.
+    # Expected time to the first event at an endpoint of normal speed, without penalties or
+    # preferences.
     expected_seconds: float
     unread_tokens: int
     has_capacity: bool
@@ -144,9 +145,10 @@
 ) -> Choice | None:
     """Return the engine with the lowest expected cost; None if there are no engines.
 
-    ``keys`` has key and cumulative tokens of each prompt prefix; the last but one is the shared
-    prefix. The cost is the expected time to the first event in seconds, plus penalties for
-    failures and for recomputing the shared prefix, less the preference for its owner.
+    ``keys`` has key and cumulative tokens of each prompt prefix. The last one covers the whole
+    prompt, the last but one is the shared prefix. The cost is the expected time to the first event
+    in seconds, plus penalties for failures and for recomputing the shared prefix, less the
+    preference for its owner.
     """
     if not states:
         return None
@@ -232,7 +234,8 @@
         cost = expected * slowness + FAILURE_PENALTY_SECONDS * view.health.failure_ratio(
             endpoint.id, now
         )
-        # Ties go to this gateway's zone, then by a fixed order, so that gateways spread out.
+        # Among equally loaded endpoints, those in this gateway's zone are preferred, so that
+        # gateways of different zones choose different ones; then the first candidate.
         cost += 0.0 if endpoint.availability_zone == zone else 0.002
         if best is None or cost < best.cost_seconds:
             best = Choice(endpoint, cost, expected, 0, requests < endpoint.slots, slowness, None)
--- a/src/masticward/state/prompt_cache.py
+++ b/src/masticward/state/prompt_cache.py
@@ -6,8 +6,8 @@
 
 from masticward.models import gateway
 
-# Fraction of an engine's token memory that holds prefixes of finished requests; running requests
-# occupy the rest.
+# Fraction of an engine's cache tokens that the model assumes to hold prefixes of finished requests;
+# running requests occupy the rest.
 PREFIX_CACHE_FRACTION = 0.7
 
 
@@ -29,8 +29,8 @@
 
     __slots__ = ("capacity", "prefixes", "total")
 
-    def __init__(self, capacity: int) -> None:
-        self.capacity = int(capacity * PREFIX_CACHE_FRACTION)
+    def __init__(self, cache_tokens: int) -> None:
+        self.capacity = int(cache_tokens * PREFIX_CACHE_FRACTION)
         # Maps a prefix key to the tokens of the prefix's last part.
         self.prefixes: collections.OrderedDict[int, int] = collections.OrderedDict()
         self.total = 0
@@ -45,7 +45,7 @@
         return tokens
 
     def record_prompt(self, keys: list[tuple[int, int]]) -> None:
-        """Add a prompt that was sent to the engine, and evict the least recently used prefixes."""
+        """Mark the prefixes of a sent prompt as cached; evict the least recently used ones."""
         previous_total = 0
         for key, total in keys:
             if key not in self.prefixes:
@@ -66,11 +66,11 @@
     def __init__(self) -> None:
         self.caches: dict[str, EngineCache] = {}
 
-    def get(self, endpoint_id: str, capacity: int) -> EngineCache:
-        """Return the cache of an engine; create it with ``capacity`` tokens if there is none."""
+    def get(self, endpoint_id: str, cache_tokens: int) -> EngineCache:
+        """Return the cache of an engine that declares ``cache_tokens``; create it if needed."""
         cache = self.caches.get(endpoint_id)
         if cache is None:
-            cache = self.caches[endpoint_id] = EngineCache(capacity)
+            cache = self.caches[endpoint_id] = EngineCache(cache_tokens)
         return cache
 
     def remove(self, endpoint_id: str) -> None:
--- a/src/masticward/state/retry_window.py
+++ b/src/masticward/state/retry_window.py
@@ -1,15 +1,22 @@
-"""Budget for retries to one service over a sliding time window."""
+"""Budget for a gateway's retries to one service over a sliding time window."""
 
 import collections
 
-# Part of the fleet's slack that known gateways use; the rest is left to gateways that this process
-# does not know.
+# Fraction of the fleet's slack that is divided among the known gateways; the rest is reserved for
+# gateways that this process has not discovered yet.
 SLACK_FRACTION = 0.6
+# The slack is divided among at least this many gateways, even while fewer are known.
 MIN_GATEWAYS = 4
 
 
 class WindowedRetryBudget:
-    """One process's part of the fleet's retry budget. Times are in seconds of ``boot_time``."""
+    """One process's share of a service's fleet-wide retry budget.
+
+    Within ``window_seconds``, the process may make ``ratio`` retries per request that it received,
+    plus an equal share of the fleet's ``slack``. In contrast, ``retry_budget.RetryBudget`` is a
+    token bucket without a time window that is not shared with other processes. Times are in seconds
+    of ``clocks.boot_time``.
+    """
 
     __slots__ = ("ratio", "requests", "retries", "slack", "window_seconds")
 
--- a/src/masticward/state/team_usage.py
+++ b/src/masticward/state/team_usage.py
@@ -1,14 +1,17 @@
-"""Tokens that each team has recently been served, by this process and by its peers."""
+"""Recent tokens of each team, in this process and its peers.
+
+One table holds the tokens that were served, another one those that were requested (the demand).
+"""
 
 import math
 
 from masticward.models import gateway
 
-# Time constant of the decay. The platform judges fairness over windows of 4 to 6 s.
+# Time constant of the decay. The platform measures fairness over windows of 4 to 6 s.
 DECAY_SECONDS = 4.0
 PEER_USAGE_MAX_AGE_SECONDS = 4.0
-# Demand above the served tokens by less than this ratio is no shortage: requests that have just
-# arrived are not started yet.
+# Smallest ratio of demand to served tokens at which capacity counts as short. It is above 1 because
+# requests that have just arrived count as demand but are not served yet.
 SHORTAGE_RATIO = 1.1
 # Teams with fewer tokens are left out of peer messages.
 NEGLIGIBLE_TOKENS = 50.0
@@ -74,8 +77,7 @@
     """Return usage as a multiple of the max-min share, for each team above its share.
 
     ``demand`` and ``served`` are tokens by team. The sum of the served tokens is taken as the
-    capacity. While nothing waits, all demand is being served and no team is above its
-    share.
+    capacity. Unless the demand exceeds it by ``SHORTAGE_RATIO``, no team is above its share.
     """
     capacity = sum(served.values())
     if sum(demand.values()) <= capacity * SHORTAGE_RATIO:
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -123,7 +123,7 @@
         )
         return head.encode() + body
 
-    async def ask(self, route: str, **arguments: typing.Any) -> Response:
+    async def call(self, route: str, **arguments: typing.Any) -> Response:
         reader, writer = await self.send(self.request(route, **arguments))
         try:
             return await self.read(reader)
@@ -140,7 +140,7 @@
     async def test_request_and_response_are_forwarded_unchanged(self) -> None:
         endpoint = await self.add_endpoint("e1")
         await self.start()
-        response = await self.ask("book", extra="X-Other: kept\r\n")
+        response = await self.call("book", extra="X-Other: kept\r\n")
         self.assertEqual((200, b"answer"), (response.status, response.body))
         self.assertEqual("proof", response.headers["x-masticward-response-seal"])
         received = endpoint.received[0]
@@ -158,7 +158,7 @@
             "X-Masticward-Kv-Backup: 127.0.0.1:1\r\nKv-From: 127.0.0.1:1/h\r\n"
             "Authorization: Bearer key-a\r\n"
         )
-        response = await self.ask("keyed", extra=forged)
+        response = await self.call("keyed", extra=forged)
         self.assertEqual(200, response.status)
         received = endpoint.received[0].headers
         self.assertEqual("team-a", received["x-masticward-tenant"])
@@ -169,10 +169,10 @@
     async def test_unknown_keys_and_routes_are_refused_without_an_attempt(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
-        self.assertEqual(401, (await self.ask("keyed")).status)
+        self.assertEqual(401, (await self.call("keyed")).status)
         wrong = "Authorization: Bearer nobody\r\n"
-        self.assertEqual(401, (await self.ask("keyed", extra=wrong)).status)
-        self.assertEqual(404, (await self.ask("nowhere")).status)
+        self.assertEqual(401, (await self.call("keyed", extra=wrong)).status)
+        self.assertEqual(404, (await self.call("nowhere")).status)
         self.assertEqual(0, self.attempts())
 
     async def test_request_smuggling_by_ambiguous_framing_is_refused(self) -> None:
@@ -207,7 +207,7 @@
     async def test_a_body_above_the_limit_gets_413(self) -> None:
         await self.add_endpoint("e1")
         await self.start()
-        self.assertEqual(413, (await self.ask("book", body=bytes(100001))).status)
+        self.assertEqual(413, (await self.call("book", body=bytes(100001))).status)
         self.assertEqual(0, self.attempts())
 
     async def test_a_dropped_connection_shortens_the_reuse_limit(self) -> None:
@@ -225,12 +225,12 @@
 
         await self.add_endpoint("e1", drop_after_one)
         await self.start()
-        self.assertEqual(200, (await self.ask("book")).status)
+        self.assertEqual(200, (await self.call("book")).status)
         await asyncio.sleep(0.4)
-        self.assertEqual(502, (await self.ask("book")).status)
-        self.assertEqual(200, (await self.ask("book")).status)
+        self.assertEqual(502, (await self.call("book")).status)
+        self.assertEqual(200, (await self.call("book")).status)
         await asyncio.sleep(0.4)
-        self.assertEqual(200, (await self.ask("book")).status)
+        self.assertEqual(200, (await self.call("book")).status)
 
     async def test_persistent_connections_serve_several_requests(self) -> None:
         endpoint = await self.add_endpoint("e1")
@@ -252,7 +252,7 @@
         for name in ("e1", "e2"):
             await self.add_endpoint(name, platform_standins.close_without_response)
         await self.start()
-        response = await self.ask("book")
+        response = await self.call("book")
         self.assertEqual(502, response.status)
         self.assertNotIn("retry-after", response.headers)
         self.assertEqual(1, self.attempts())
@@ -261,7 +261,7 @@
         await self.add_endpoint("e1", platform_standins.close_without_response)
         await self.add_endpoint("e2", platform_standins.close_without_response)
         await self.start()
-        response = await self.ask("status", method="GET", body=b"")
+        response = await self.call("status", method="GET", body=b"")
         self.assertEqual(502, response.status)
         self.assertEqual([1, 1], [len(endpoint.received) for endpoint in self.endpoints])
 
@@ -269,13 +269,13 @@
         shedding = await self.add_endpoint("e1", platform_standins.shed_request)
         await self.add_endpoint("e2", platform_standins.shed_request)
         await self.start()
-        response = await self.ask("book")
+        response = await self.call("book")
         self.assertEqual(503, response.status)
         self.assertIn("retry-after", response.headers)
         self.assertEqual(2, self.attempts())
         shedding.behaviour = platform_standins.send_complete_response
         await asyncio.sleep(0.5)
-        self.assertEqual(200, (await self.ask("book")).status)
+        self.assertEqual(200, (await self.call("book")).status)
 
     async def test_a_response_to_another_request_is_dropped(self) -> None:
         async def other_response_first(
@@ -289,7 +289,7 @@
 
         await self.add_endpoint("e1", other_response_first)
         await self.start()
-        response = await self.ask("book")
+        response = await self.call("book")
         self.assertEqual((200, b"right"), (response.status, response.body))
 
     async def test_bytes_after_a_response_do_not_reach_the_next_client(self) -> None:
@@ -301,20 +301,20 @@
 
         endpoint = await self.add_endpoint("e1", send_twice)
         await self.start()
-        self.assertEqual(b"first", (await self.ask("book")).body)
+        self.assertEqual(b"first", (await self.call("book")).body)
         endpoint.behaviour = platform_standins.send_complete_response
-        self.assertEqual(b"answer", (await self.ask("book")).body)
+        self.assertEqual(b"answer", (await self.call("book")).body)
 
-    async def test_a_success_without_proof_is_not_forwarded(self) -> None:
-        async def unproven(
+    async def test_a_success_without_a_signature_is_not_forwarded(self) -> None:
+        async def send_unsigned(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             return True
 
-        await self.add_endpoint("e1", unproven)
+        await self.add_endpoint("e1", send_unsigned)
         await self.start()
-        self.assertEqual(502, (await self.ask("book")).status)
+        self.assertEqual(502, (await self.call("book")).status)
 
     async def test_an_early_response_to_a_long_body_is_forwarded(self) -> None:
         class Early(platform_standins.EndpointStandin):
@@ -335,7 +335,7 @@
         self.store.put_endpoint("e1", endpoint.address)
         self.endpoints.append(endpoint)
         await self.start()
-        self.assertEqual(413, (await self.ask("book", body=bytes(90000))).status)
+        self.assertEqual(413, (await self.call("book", body=bytes(90000))).status)
 
 
 class StreamTest(GatewayCase):
@@ -364,7 +364,7 @@
     async def test_a_broken_stream_does_not_look_complete(self) -> None:
         await self.add_endpoint("e1", await self.stream(b"id: 1\ndata: a\n\n", False))
         await self.start()
-        response = await self.ask("stream")
+        response = await self.call("stream")
         self.assertEqual(200, response.status)
         self.assertFalse(response.complete)
         self.assertEqual(1, self.attempts())
@@ -373,7 +373,7 @@
         # A refusal cannot be sent after the response headers.
         await self.add_endpoint("e1", await self.stream(b"id: 1\ndata: a\n\n", False))
         await self.start()
-        response = await self.ask("resume")
+        response = await self.call("resume")
         self.assertEqual((200, False), (response.status, response.complete))
         cut = self.program.meters.requests.labels("cut by endpoint", "0")._value.get()
         self.assertEqual(1, cut)
@@ -383,7 +383,7 @@
         for name in ("e1", "e2"):
             await self.add_endpoint(name, await self.stream(truncated_events, False))
         await self.start()
-        response = await self.ask("resume")
+        response = await self.call("resume")
         self.assertTrue(response.complete)
         expected = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
         self.assertEqual(expected, response.body)
@@ -411,7 +411,7 @@
             await self.add_endpoint(name, platform_standins.never_respond)
         await self.start()
         started = clocks.boot_time()
-        reading = asyncio.ensure_future(self.ask("status", method="GET", body=b""))
+        reading = asyncio.ensure_future(self.call("status", method="GET", body=b""))
         await self.wait_until(lambda: self.attempts() == 1)
         silent = next(endpoint for endpoint in self.endpoints if endpoint.received)
         other = next(endpoint for endpoint in self.endpoints if not endpoint.received)
@@ -424,7 +424,7 @@
         for name in ("e1", "e2"):
             await self.add_endpoint(name, platform_standins.never_respond)
         await self.start()
-        self.assertEqual(504, (await self.ask("book")).status)
+        self.assertEqual(504, (await self.call("book")).status)
         self.assertEqual(1, self.attempts())
 
     async def test_a_request_of_a_disconnected_client_is_not_forwarded(self) -> None:
@@ -445,12 +445,12 @@
         await self.add_endpoint("e1", platform_standins.never_respond)
         await self.start()
         started = clocks.boot_time()
-        self.assertEqual(504, (await self.ask("short")).status)
+        self.assertEqual(504, (await self.call("short")).status)
         self.assertLess(clocks.boot_time() - started, 0.3 + 0.5)
 
     async def test_without_an_endpoint_a_request_gets_503_with_retry_after(self) -> None:
         await self.start()
-        response = await self.ask("book")
+        response = await self.call("book")
         self.assertEqual(503, response.status)
         self.assertGreater(float(response.headers["retry-after"]), 0.0)
 
@@ -483,7 +483,7 @@
         listener = self.program.client_server.listener
         assert listener is not None
         self.port = listener.port
-        self.assertEqual(503, (await self.ask("keyed")).status)
+        self.assertEqual(503, (await self.call("keyed")).status)
         self.assertFalse(self.program.ready())
 
     async def test_api_keys_without_a_recent_proof_are_not_used(self) -> None:
@@ -491,11 +491,11 @@
         await self.start()
         key = "Authorization: Bearer key-a\r\n"
         await self.wait_until(lambda: self.fleet.proof_is_fresh(clocks.boot_time()))
-        self.assertEqual(200, (await self.ask("keyed", extra=key)).status)
+        self.assertEqual(200, (await self.call("keyed", extra=key)).status)
         self.store.unavailable = True
         await self.wait_until(lambda: not self.fleet.proof_is_fresh(clocks.boot_time()))
-        self.assertEqual(503, (await self.ask("keyed", extra=key)).status)
-        self.assertEqual(200, (await self.ask("book")).status)
+        self.assertEqual(503, (await self.call("keyed", extra=key)).status)
+        self.assertEqual(200, (await self.call("book")).status)
 
     async def test_a_revoked_api_key_is_refused(self) -> None:
         await self.add_endpoint("e1")
@@ -503,7 +503,7 @@
         changed = platform_standins.configuration(2, tenants=[{"name": "team-a", "api_keys": []}])
         self.store.put("config", "main", changed)
         await self.wait_until(lambda: self.fleet.configuration.version == 2)  # type: ignore[union-attr]
-        response = await self.ask("keyed", extra="Authorization: Bearer key-a\r\n")
+        response = await self.call("keyed", extra="Authorization: Bearer key-a\r\n")
         self.assertEqual(401, response.status)
 
     async def test_an_older_configuration_is_ignored(self) -> None:
--- a/tests/lib/gateway_builders.py
+++ b/tests/lib/gateway_builders.py
@@ -26,7 +26,7 @@
 
 
 def make_bounds() -> gateway.Bounds:
-    """Return the bounds of the users' first site."""
+    """Return the bounds of the users' first site: the defaults with a larger ``retry_slack``."""
     return gateway.Bounds(
         revoke_seconds=5.0,
         stop_grace_seconds=8.0,
--- a/tests/lib/platform_standins.py
+++ b/tests/lib/platform_standins.py
@@ -76,7 +76,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Handle a request, and cancel this when the client disconnects.
+        """Handle a request; cancel the handling if the client disconnects.
 
         Return whether the connection stays open.
         """
@@ -113,7 +113,7 @@
 
 
 def complete_response(request: ReceivedRequest, body: bytes = b"answer", extra: str = "") -> bytes:
-    """Return the bytes of a complete response with its proof."""
+    """Return the bytes of a complete response with the endpoint's signature."""
     head = (
         f"HTTP/1.1 200 OK\r\nX-Masticward-Request-Id: {request.request_id}\r\n{PROOF}{extra}"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -142,7 +142,7 @@
 
 
 async def never_respond(request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-    """Hold a request without a response."""
+    """Keep the connection open without a response."""
     await asyncio.sleep(60.0)
     return False
 
--- a/tests/unit/test_gateway_state.py
+++ b/tests/unit/test_gateway_state.py
@@ -102,9 +102,11 @@
             for engine in self.engines:
                 self.view.loads.start_request(engine.id, unread, unread)
             states = placement.engine_states(self.engines, self.engine, self.view, 0.0)
-            room = placement.any_has_capacity(states, self.engine, placement.PREFILL_WINDOW_SECONDS)
-            self.assertEqual(unread < 17_500, room)
-            if not room:
+            available = placement.any_has_capacity(
+                states, self.engine, placement.PREFILL_WINDOW_SECONDS
+            )
+            self.assertEqual(unread < 17_500, available)
+            if not available:
                 self.assertFalse(self.choose("doc").has_capacity)
 
     def test_an_idle_engine_accepts_any_request(self) -> None:
@@ -137,7 +139,7 @@
         self.assertAlmostEqual(4.0, health.get("e", 0.0).slowness, places=2)
 
     def test_short_delays_of_healthy_engines_do_not_count_as_slowness(self) -> None:
-        # Each gateway sees few requests per engine, so random delays would change its choice.
+        # Each gateway measures few requests per engine, so random delays would change its choice.
         health = endpoint_health.HealthTracker()
         for measured in (0.03, 0.09, 0.05, 0.12):
             health.record_latency("e", measured, 0.02, 0.0)
@@ -186,7 +188,7 @@
         self.table.remove_expired(20.0, [])
         self.assertEqual(["e1"], self.usable(20.0))
 
-    def test_endpoints_of_an_out_zone_are_not_usable_and_cold_when_it_returns(self) -> None:
+    def test_endpoints_of_an_evacuated_zone_are_not_usable_and_cold_after_its_return(self) -> None:
         services = builders.make_configuration().services
         self.table.set_evacuated_zones({"z1"}, 10.0, services)
         self.assertEqual([], self.usable(10.0))
@@ -219,7 +221,7 @@
 
 
 class WindowedRetryBudgetTest(unittest.TestCase):
-    """Guards the fleet-wide bound on retries, regardless of what gateways know of each other."""
+    """Guards against gateways that together make more retries than the fleet-wide bound."""
 
     @given(
         gateways=st.integers(1, 12),
@@ -257,7 +259,7 @@
 
 
 class ColdStartLimiterTest(unittest.TestCase):
-    """Guards the fleet-wide rate limit for a cold endpoint."""
+    """Guards against gateways that together exceed the rate limit of a cold endpoint."""
 
     @given(gateways=st.integers(1, 30), offsets=st.lists(st.floats(0.0, 2.0), max_size=200))
     def test_all_gateways_together_stay_below_the_bound(
--- a/tests/unit/test_gateway_waiting.py
+++ b/tests/unit/test_gateway_waiting.py
@@ -201,7 +201,7 @@
         self.assertGreater(self.refused(tasks), 15)
 
     async def test_a_gateway_with_most_of_the_clients_may_use_most_of_the_engines(self) -> None:
-        # The balancer's hash has assigned a large part of the clients to one gateway of 25.
+        # The load balancer's hash has assigned a large part of the clients to one gateway of 25.
         self.fleet.live_gateways = [f"g{number}" for number in range(25)]
         await self.submit("a")
         waiting = [await self.submit("a", max_wait_seconds=0.8) for _ in range(2)]
@@ -312,7 +312,7 @@
 
 
 class KeysTest(unittest.TestCase):
-    """Guards against requests that are accepted with revoked API keys."""
+    """Guards against the use of revoked API keys, and against splits that ignore their weights."""
 
     def test_a_proof_expires_before_the_revocation_bound(self) -> None:
         fleet = builders.make_fleet(now=100.0)
