--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -1,4 +1,4 @@
-"""One gateway process's view of the fleet: configuration, endpoints, loads and peers."""
+"""State of the fleet in one gateway process: configuration, endpoints, loads and peers."""
 
 from masticward import events, logs
 from masticward.models import gateway
@@ -20,7 +20,7 @@
 
 
 class FleetState:
-    """The fleet as this process sees it. Times are in seconds of ``clocks.boot_time``.
+    """The state of the fleet in one gateway process. Times are in seconds of ``clocks.boot_time``.
 
     A proof is a read of the store which shows that the configuration in force is the newest one.
     API keys are accepted only while the latest proof, a peer's or this process's own, is recent
@@ -98,7 +98,7 @@
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
     def proof_is_fresh(self, now: float) -> bool:
-        """Return whether the configuration was proven recently enough to accept its keys."""
+        """Return whether the configuration was proven recently enough to accept its API keys."""
         allowed_age = self.settings.bounds.revoke_seconds - REVOKE_MARGIN_SECONDS
         return now - self.configuration_proven_at < allowed_age
 
--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -1,4 +1,4 @@
-"""Handles clients' requests: finds route and team, forwards them or answers with a refusal."""
+"""Handles clients' requests: determines route and team, then forwards or refuses them."""
 
 import asyncio
 
--- a/src/masticward/gateway/gateway_metrics.py
+++ b/src/masticward/gateway/gateway_metrics.py
@@ -6,7 +6,7 @@
 
 from masticward import metrics
 
-FIRST_EVENT_BUCKETS = (0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0)
+FIRST_EVENT_BUCKETS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0)
 
 
 class GatewayMeters:
@@ -31,7 +31,7 @@
         self.first_event = prometheus_client.Histogram(
             "masticward_gateway_first_event_seconds",
             "time from arrival to the first event of a stream, in seconds",
-            buckets=FIRST_EVENT_BUCKETS,
+            buckets=FIRST_EVENT_BUCKETS_SECONDS,
             registry=process_metrics.registry,
         )
 
--- a/src/masticward/gateway/placer.py
+++ b/src/masticward/gateway/placer.py
@@ -38,7 +38,7 @@
     reason: str
     retry_after_seconds: float
     expected_wait_seconds: float
-    # Uncached prompt tokens of the requests before this one in this gateway's queue.
+    # Unread tokens of the requests before this one in this gateway's queue.
     tokens_ahead: int
     # Endpoints that were neither in backoff nor cold with a used-up request rate.
     candidate_count: int
@@ -77,7 +77,8 @@
         self.team = team or ""
         self.refuse_at = refuse_at
         self.arrived_at = metadata.arrived_at
-        # Uncached prompt tokens by the latest choice; the whole prompt before the first choice.
+        # Prompt tokens that the engine of the latest choice would have to prefill; the whole prompt
+        # before the first choice.
         self.unread_tokens = metadata.prompt_tokens
         self.in_time_until = metadata.arrived_at + IN_TIME_FRACTION * route.target_latency_seconds
         self.prefix_keys = prompt_cache.prefix_keys(metadata.parts)
@@ -245,7 +246,7 @@
         usage = self.fleet.usage.totals(now)
         demand = self.fleet.demand.totals(now)
         excess_by_team = team_usage.excess_over_share(demand, usage)
-        prefill_rate = self.prefill_tokens_per_second(service, demand, now)
+        prefill_tokens_per_second = self.prefill_tokens_per_second(service, demand, now)
         queue.sort(
             key=lambda item: (
                 item.team in excess_by_team,
@@ -275,13 +276,17 @@
             if choice is not None:
                 request.unread_tokens = choice.unread_tokens
             cannot_be_in_time = bool(pool.candidates) and (
-                now + tokens_ahead / prefill_rate > request.refuse_at
+                now + tokens_ahead / prefill_tokens_per_second > request.refuse_at
             )
             if now >= request.refuse_at or cannot_be_in_time:
                 queue.remove(request)
                 request.future.set_result(
                     self.build_refusal(
-                        request, pool.candidates, tokens_ahead, prefill_rate, excess_by_team
+                        request,
+                        pool.candidates,
+                        tokens_ahead,
+                        prefill_tokens_per_second,
+                        excess_by_team,
                     )
                 )
                 continue
@@ -306,11 +311,11 @@
         request: WaitingRequest,
         candidates: list[gateway.Endpoint],
         tokens_ahead: int,
-        prefill_rate: float,
+        prefill_tokens_per_second: float,
         excess_by_team: dict[str, float],
     ) -> PlacementRefusal:
         """Return a refusal with a randomized retry delay."""
-        expected_wait_seconds = tokens_ahead / prefill_rate
+        expected_wait_seconds = tokens_ahead / prefill_tokens_per_second
         jitter = 1.0 + RETRY_AFTER_JITTER_FRACTION * random.random()
         return PlacementRefusal(
             reason="no capacity in time" if candidates else "no endpoint",
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -19,8 +19,8 @@
 MIN_ATTEMPT_SECONDS = 0.02
 STALE_PROOF_RETRY_AFTER_SECONDS = 0.5
 # A healthy endpoint begins its response within its expected time multiplied by the factor, plus the
-# margin. Endpoints that lose a response send nothing at all; clients abandon a stream after a gap
-# of 2 s or more.
+# margin. An endpoint that loses a response sends nothing at all. The stream margin is below 2 s,
+# because clients abandon a stream after a gap of 2 s or more.
 RESPONSE_TIMEOUT_FACTOR = 3.0
 STREAM_RESPONSE_MARGIN_SECONDS = 1.2
 PLAIN_RESPONSE_MARGIN_SECONDS = 0.35
@@ -208,7 +208,7 @@
         )
 
     async def attempt_at(
-        self, endpoint: gateway.Endpoint, placed: placement.Choice, reservation: "LoadReservation"
+        self, endpoint: gateway.Endpoint, choice: placement.Choice, reservation: "LoadReservation"
     ) -> bool:
         """Send the request to one endpoint and relay its response.
 
@@ -242,12 +242,12 @@
             endpoint=endpoint.id,
             team=self.team,
             waited_ms=round((now - self.metadata.arrived_at) * 1000),
-            expected_ms=round(placed.expected_seconds * 1000),
-            cost_ms=round(placed.cost_seconds * 1000),
-            slowness=round(placed.slowness, 2),
-            unread_tokens=placed.unread_tokens,
+            expected_ms=round(choice.expected_seconds * 1000),
+            cost_ms=round(choice.cost_seconds * 1000),
+            slowness=round(choice.slowness, 2),
+            unread_tokens=choice.unread_tokens,
             prompt_tokens=self.metadata.prompt_tokens,
-            owner=placed.owner_id,
+            owner=choice.owner_id,
             attempt=self.progress.sends,
             config=self.fleet.configuration.version if self.fleet.configuration else None,
         )
@@ -262,7 +262,7 @@
                     self.progress.last_event_id,
                     connection,
                 ),
-                self.response_timeout_seconds(placed),
+                self.response_timeout_seconds(choice),
             )
         except errors.EndpointNotStartedError:
             self.progress.runs -= 1
@@ -272,9 +272,9 @@
         finally:
             call.finish()
 
-    def response_timeout_seconds(self, placed: placement.Choice) -> float:
+    def response_timeout_seconds(self, choice: placement.Choice) -> float:
         """Return the time within which a healthy endpoint begins its response."""
-        expected_seconds = placed.expected_seconds * placed.slowness * RESPONSE_TIMEOUT_FACTOR
+        expected_seconds = choice.expected_seconds * choice.slowness * RESPONSE_TIMEOUT_FACTOR
         if self.route.kind is gateway.RequestKind.STREAM:
             return expected_seconds + STREAM_RESPONSE_MARGIN_SECONDS
         return expected_seconds + PLAIN_RESPONSE_MARGIN_SECONDS
--- a/src/masticward/gateway/snapshots.py
+++ b/src/masticward/gateway/snapshots.py
@@ -72,7 +72,7 @@
         self.fleet = fleet
         self.peering = gateway_peering
         self.followers_by_kind = followers_by_kind
-        # Whether most peers have another listing than this process.
+        # Whether at least half of the live peers have another listing than this process.
         self.listing_differs = False
         self.behind_since: float | None = None
 
--- a/src/masticward/state/cold_start.py
+++ b/src/masticward/state/cold_start.py
@@ -39,9 +39,9 @@
             return False
         return rate > 0 and own_id in senders(endpoint_id, gateways)
 
-    def record_send(self, endpoint_id: str, rate: float, gateways: int, now: float) -> None:
+    def record_send(self, endpoint_id: str, rate: float, gateway_count: int, now: float) -> None:
         """Set the time of the next permitted request from this process's share of the rate."""
-        share = rate / max(1, min(MAX_SENDERS, gateways))
+        share = rate / max(1, min(MAX_SENDERS, gateway_count))
         self.next_send_at[endpoint_id] = now + 1.0 / max(share, 0.01)
 
     def remove(self, endpoint_id: str) -> None:
--- a/src/masticward/state/retry_window.py
+++ b/src/masticward/state/retry_window.py
@@ -32,10 +32,10 @@
         self.requests.append(now)
         self.expire(now)
 
-    def take(self, now: float, gateways: int) -> bool:
+    def take(self, now: float, gateway_count: int) -> bool:
         """Count a retry if the budget allows it; return whether it does."""
         self.expire(now)
-        share = self.slack * SLACK_FRACTION / max(MIN_GATEWAYS, gateways)
+        share = self.slack * SLACK_FRACTION / max(MIN_GATEWAYS, gateway_count)
         if len(self.retries) + 1 > self.ratio * len(self.requests) + share:
             return False
         self.retries.append(now)
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -342,6 +342,11 @@
     """Guards against broken streams that look complete or resume at the wrong event."""
 
     async def stream(self, first: bytes, complete: bool) -> platform_standins.Behaviour:
+        """Return a behaviour that sends ``first``, or event 3 to a client that resumes.
+
+        Without ``complete``, the connection is closed after ``first``.
+        """
+
         async def behaviour(
             request: platform_standins.ReceivedRequest, writer: asyncio.StreamWriter
         ) -> bool:
