--- a/src/masticward/gateway/sources.py
+++ b/src/masticward/gateway/sources.py
@@ -79,12 +79,12 @@
         headers: list[tuple[bytes, bytes]],
         arrived_at: float,
     ) -> gateway.RequestMetadata:
-        """Return the metadata of a client's request; raises BadRequestError."""
+        """Return the metadata of a client's request; raise BadRequestError if it is invalid."""
 
     @abc.abstractmethod
     def encode_request(
         self,
-        request_metadata: gateway.RequestMetadata,
+        metadata: gateway.RequestMetadata,
         endpoint: gateway.Endpoint,
         team: str | None,
         remaining_ms: int,
