--- a/src/masticward/coordination/admission_checks.py
+++ b/src/masticward/coordination/admission_checks.py
@@ -127,7 +127,8 @@
         """Check that the entry routed the call with the same definition of its operation.
 
         Configuration versions may differ, because most changes do not affect the call. Requiring
-        equal versions would refuse attempts in the whole fleet until a change has spread.
+        equal versions would refuse attempts in the whole fleet after each change, until every
+        process has received it.
         Operations versions are not compared either: the agent's own operations state has been
         checked, and an entry with a newer state has checked this agent against it.
         """
--- a/src/masticward/coordination/endpoint_runner.py
+++ b/src/masticward/coordination/endpoint_runner.py
@@ -152,7 +152,7 @@
         if reason is None:
             turnaround = self.slots.age(request.slot_id, now)
             if turnaround is not None and self.dispatcher_has_tickets:
-                self.capacity.staged_depth.note_turnaround(turnaround)
+                self.capacity.staged_depth.record_turnaround(turnaround)
             slot_reason = self.slots.use(request.slot_id, now)
             reason = self.checks.check_on_arrival(request) or slot_reason
         if reason is None:
@@ -301,7 +301,7 @@
         now = time.monotonic()
         report = answer.value_or(None)
         if report is None:
-            self.capacity.in_flight.note_missing_report(now)
+            self.capacity.in_flight.record_missing_report(now)
             self.log_report_missing(str(answer.failure()), now)
         else:
             self.apply_load_report(report, requested_at, now)
@@ -320,9 +320,9 @@
         if self.report_missing:
             self.report_missing = False
             self.logger.log(events.Event.LOAD_REPORT_BACK)
-        self.capacity.in_flight.note_report(report.running, requested_at, now)
+        self.capacity.in_flight.record_report(report.running, requested_at, now)
         self.endpoint_leaving = report.leaving
-        if self.capacity.limit.note_report(
+        if self.capacity.limit.record_report(
             report.cold, report.incarnation, report.limit_hint, requested_at, now
         ):
             self.log_cold("load report")
@@ -343,7 +343,7 @@
     def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:
         """Reclaim slots that a dispatcher returned, so that new ones may be issued."""
         for slot_id in slot_ids:
-            self.slots.withdraw(slot_id)
+            self.slots.reclaim(slot_id)
 
     def report(self) -> offers.UsageReport:
         """Return all counters. Each finished ticket is included in one report only."""
@@ -364,7 +364,7 @@
 
     def record_one_way_delay(self, seconds: float) -> None:
         """Record a one-way network delay to the dispatcher."""
-        self.capacity.staged_depth.note_hop_time(seconds)
+        self.capacity.staged_depth.record_one_way_delay(seconds)
 
     def record_waiting_tickets(self, count: int) -> None:
         """Record the number of tickets that wait at the dispatcher."""
--- a/src/masticward/coordination/offers.py
+++ b/src/masticward/coordination/offers.py
@@ -83,7 +83,7 @@
 
     @abc.abstractmethod
     def is_retracted(self) -> bool:
-        """Return whether all offered slots must be withdrawn."""
+        """Return whether all slots offered so far must be retracted, and no more may be offered."""
 
     def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:  # noqa: B027
         """Reclaim slots that a dispatcher returned unassigned, so that new ones may be issued.
--- a/src/masticward/coordination/run_execution.py
+++ b/src/masticward/coordination/run_execution.py
@@ -18,8 +18,8 @@
 
 # HTTP statuses with which an engine that accepted the call reports overload.
 OVERLOAD_STATUSES = frozenset({429, 503})
-# Responses from this HTTP status on do not show that the endpoint can bear load: rejecting a call,
-# such as a malformed one, costs it next to nothing.
+# Responses with this HTTP status or a higher one do not count towards raising the admission limit:
+# rejecting a call, such as a malformed one, takes too little work to show spare capacity.
 FIRST_ERROR_STATUS = 400
 FINAL_EVENTS = (attempts.Finished, attempts.Refused, attempts.Failed)
 
@@ -129,7 +129,7 @@
         self.run.first_token_at = now
         self.end_first_token_wait()
         self.runner.metrics.first_token_seconds.observe(seconds)
-        if self.runner.capacity.limit.note_first_token(seconds, self.run.epoch, now):
+        if self.runner.capacity.limit.record_first_token(seconds, self.run.epoch, now):
             self.runner.log_cold("slow first token")
         self.runner.reconcile()
 
@@ -176,11 +176,11 @@
         now = time.monotonic()
         limit = self.runner.capacity.limit
         started_at = self.run.started_at or now
-        self.runner.capacity.staged_depth.note_service_time(now - started_at)
+        self.runner.capacity.staged_depth.record_service_time(now - started_at)
         if self.head is not None and self.is_model and self.head.status in OVERLOAD_STATUSES:
             self.runner.reset_to_cold(f"status {self.head.status}")
         elif self.shows_work():
-            raised = limit.note_success(self.run.epoch, now)
+            raised = limit.record_success(self.run.epoch, now)
             if raised and limit.state is admission.AdmissionState.WARM:
                 self.runner.logger.log(events.Event.ENDPOINT_WARM, limit=limit.limit)
         return attempts.Finished(self.run.cost)
@@ -216,7 +216,7 @@
         if not self.is_model:
             self.charge(max(0.0, self.operation.cost - self.run.cost))
         if time.monotonic() >= self.run.request.call.deadline:
-            self.runner.capacity.limit.note_failure()
+            self.runner.capacity.limit.record_failure()
         elif self.head is not None or not self.operation.idempotent:
             self.runner.reset_to_cold("connection broken")
         return attempts.Failed(cause)
@@ -238,7 +238,7 @@
         ``seconds`` is the time that the call has waited.
         """
         limit = self.runner.capacity.limit
-        if limit.note_overdue_first_token(seconds, self.run.epoch, time.monotonic()):
+        if limit.record_overdue_first_token(seconds, self.run.epoch, time.monotonic()):
             self.runner.log_cold("first token overdue")
             self.runner.reconcile()
 
--- a/src/masticward/state/admission.py
+++ b/src/masticward/state/admission.py
@@ -103,11 +103,11 @@
         self.successes = 0
         self.epoch += 1
 
-    def note_report(
+    def record_report(
         self, cold: bool, incarnation: int, limit_hint: int, requested_at: float, now: float
     ) -> bool:
         """Apply a load report; True if the endpoint became cold or restarted."""
-        self.first_tokens.note_report(cold, requested_at - self.report_lag_seconds, now)
+        self.first_tokens.record_report(cold, requested_at - self.report_lag_seconds, now)
         restarted = self.endpoint_incarnation not in (None, incarnation)
         self.endpoint_incarnation = incarnation
         self.last_report_at = now
@@ -118,7 +118,7 @@
             self.reset_to_cold()
         return became_cold
 
-    def note_success(self, epoch: int, now: float) -> bool:
+    def record_success(self, epoch: int, now: float) -> bool:
         """Count a successful call that was started in ``epoch``; True if it raised the limit."""
         if epoch != self.epoch or self.raw_limit >= self.warm_limit:
             return False
@@ -132,7 +132,7 @@
         self.raw_limit += 1
         return True
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Restart the count of successful calls without a return to cold, e.g. after a timeout."""
         self.successes = 0
 
@@ -140,7 +140,7 @@
         """Return whether no load report has arrived for ``REPORT_TIMEOUT_SECONDS``."""
         return self.last_report_at is None or now - self.last_report_at >= REPORT_TIMEOUT_SECONDS
 
-    def note_first_token(self, seconds: float, epoch: int, now: float) -> bool:
+    def record_first_token(self, seconds: float, epoch: int, now: float) -> bool:
         """Apply a first-token time; True if it led to a return to cold.
 
         Times are added to the mean while load reports say that the endpoint is not cold. If only
@@ -150,7 +150,7 @@
         """
         slow = self.first_tokens.is_slow(seconds)
         if slow:
-            self.first_tokens.note_suspected_cold(seconds, now)
+            self.first_tokens.record_suspected_cold(seconds, now)
         if slow or not (self.reported_cold or self.is_report_missing(now)):
             self.first_tokens.add_sample(seconds)
         if not slow or epoch != self.epoch:
@@ -158,9 +158,9 @@
         self.reset_to_cold()
         return True
 
-    def note_overdue_first_token(self, seconds: float, epoch: int, now: float) -> bool:
+    def record_overdue_first_token(self, seconds: float, epoch: int, now: float) -> bool:
         """Apply a first token that is overdue by now; True if it led to a return to cold."""
-        self.first_tokens.note_suspected_cold(seconds, now)
+        self.first_tokens.record_suspected_cold(seconds, now)
         if epoch != self.epoch:
             return False
         self.reset_to_cold()
--- a/src/masticward/state/capacity.py
+++ b/src/masticward/state/capacity.py
@@ -33,7 +33,7 @@
         if not self.limit.is_open(now):
             return 0
         limit = self.limit.limit
-        return max(0, limit + self.staged_depth.slots_ahead(limit) - self.in_flight.total - staged)
+        return max(0, limit + self.staged_depth.slots_for(limit) - self.in_flight.total - staged)
 
     def excess_staged_calls(self, staged: int) -> int:
         """Return how many staged calls exceed the limit plus the staged depth, at least 0.
@@ -41,4 +41,4 @@
         Running calls do not count: those in excess of a lowered limit do not displace staged ones.
         """
         limit = self.limit.limit
-        return max(0, staged - limit - self.staged_depth.slots_ahead(limit))
+        return max(0, staged - limit - self.staged_depth.slots_for(limit))
--- a/src/masticward/state/fair_queue.py
+++ b/src/masticward/state/fair_queue.py
@@ -57,14 +57,14 @@
         """Return the current rank of a group."""
 
     @abc.abstractmethod
-    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
+    def record_group_added(self, group: str, lowest_rank: float | None) -> None:
         """Note that a group gets its first waiting ticket.
 
         ``lowest_rank`` is the lowest rank of the other groups, None if there are none.
         """
 
     @abc.abstractmethod
-    def note_group_served(self, group: str) -> None:
+    def record_group_served(self, group: str) -> None:
         """Note that a ticket of the group was dispatched."""
 
 
@@ -82,10 +82,10 @@
         """Return the team's virtual time including its reservations."""
         return self.ledger.effective_of(group)
 
-    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
+    def record_group_added(self, group: str, lowest_rank: float | None) -> None:
         """Do nothing: the ledger raises the virtual time of the team."""
 
-    def note_group_served(self, group: str) -> None:
+    def record_group_served(self, group: str) -> None:
         """Do nothing: the ledger accounts for the reservation."""
 
 
@@ -100,10 +100,10 @@
         """Return 0, because there is only one group."""
         return 0.0
 
-    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
+    def record_group_added(self, group: str, lowest_rank: float | None) -> None:
         """Do nothing."""
 
-    def note_group_served(self, group: str) -> None:
+    def record_group_served(self, group: str) -> None:
         """Do nothing."""
 
 
@@ -124,11 +124,11 @@
         """Return the number of tickets served, as raised after idle times of the entry."""
         return self.served.get(group, 0.0)
 
-    def note_group_added(self, group: str, lowest_rank: float | None) -> None:
+    def record_group_added(self, group: str, lowest_rank: float | None) -> None:
         """Raise the entry's count to that of the others, so that idle time gives no credit."""
         self.served[group] = max(self.served.get(group, 0.0), lowest_rank or 0.0)
 
-    def note_group_served(self, group: str) -> None:
+    def record_group_served(self, group: str) -> None:
         """Count the dispatched ticket."""
         self.served[group] = self.served.get(group, 0.0) + 1.0
 
@@ -192,7 +192,7 @@
         self.ledger.add_waiting(ticket.team)
         group = self.groups.get(entry.group)
         if group is None:
-            self.policy.note_group_added(
+            self.policy.record_group_added(
                 entry.group, self.group_order[0][0] if self.group_order else None
             )
             group = self.groups[entry.group] = TicketGroup()
@@ -226,7 +226,7 @@
         estimate = self.ledger.estimate(ticket.team, ticket.cost_hint)
         self.remove_from_orders(entry)
         self.reservations[ticket.id] = Reservation(ticket.team, estimate, ticket.cost_hint)
-        self.policy.note_group_served(entry.group)
+        self.policy.record_group_served(entry.group)
         self.ledger.reserve(ticket.team, estimate)
         self.ledger.remove_waiting(ticket.team)
         self.reposition(entry.group)
--- a/src/masticward/state/first_token.py
+++ b/src/masticward/state/first_token.py
@@ -67,7 +67,7 @@
         self.mean_seconds += weight * (sample - self.mean_seconds)
         self.tolerated_seconds *= TOLERANCE_DECAY
 
-    def note_suspected_cold(self, seconds: float, now: float) -> None:
+    def record_suspected_cold(self, seconds: float, now: float) -> None:
         """Record a time that led to a return to cold, until load reports confirm or refute it."""
         if self.suspected_at is None:
             self.suspected_at = now
@@ -76,7 +76,7 @@
         self.suspected_call_start = min(self.suspected_call_start, now - seconds)
         self.suspected_seconds = max(self.suspected_seconds, seconds)
 
-    def note_report(self, cold: bool, shows_after: float, now: float) -> None:
+    def record_report(self, cold: bool, shows_after: float, now: float) -> None:
         """Apply a load report that shows the state of the endpoint after ``shows_after``.
 
         A suspicion was a false alarm only if load reports arrived without a gap and none was cold
--- a/src/masticward/state/in_flight.py
+++ b/src/masticward/state/in_flight.py
@@ -58,7 +58,7 @@
             self.earlier_calls += 1
             self.detached_at.append(now)
 
-    def note_report(self, running: int, requested_at: float, now: float) -> None:
+    def record_report(self, running: int, requested_at: float, now: float) -> None:
         """Correct the earlier calls by the number of running calls in a load report."""
         window_start = requested_at - self.report_lag_seconds
         self.trim_history(window_start)
@@ -87,7 +87,7 @@
         self.reported_earlier_calls = 0
         self.review_at = now + REVIEW_PERIOD_SECONDS
 
-    def note_missing_report(self, now: float) -> None:
+    def record_missing_report(self, now: float) -> None:
         """Remove detached calls after ``DETACHED_CALL_TIMEOUT_SECONDS`` without a report."""
         limit = now - DETACHED_CALL_TIMEOUT_SECONDS
         if self.last_report_at > limit:
--- a/src/masticward/state/slots.py
+++ b/src/masticward/state/slots.py
@@ -49,7 +49,7 @@
             return None
         return now - (self.deadlines[slot_id] - SLOT_LIFETIME_SECONDS)
 
-    def withdraw(self, slot_id: int) -> None:
+    def reclaim(self, slot_id: int) -> None:
         """Invalidate a slot that its dispatcher has discarded."""
         self.deadlines.pop(slot_id, None)
 
--- a/src/masticward/state/versions.py
+++ b/src/masticward/state/versions.py
@@ -16,11 +16,11 @@
 class VersionStore:
     """Holds the newest value of each kind, decoded and encoded. Versions never decrease."""
 
-    __slots__ = ("configuration", "encoded_configuration", "operations", "operations_bytes")
+    __slots__ = ("cached_configuration_bytes", "configuration", "operations", "operations_bytes")
 
     def __init__(self) -> None:
         self.configuration: configuration_models.Configuration | None = None
-        self.encoded_configuration = b""
+        self.cached_configuration_bytes = b""
         self.operations = configuration_models.OperationsState(version=0)
         self.operations_bytes = b""
 
@@ -37,9 +37,9 @@
     @property
     def configuration_bytes(self) -> bytes:
         """The configuration as JSON, encoded on first use; empty if there is none."""
-        if not self.encoded_configuration and self.configuration is not None:
-            self.encoded_configuration = msgspec.json.encode(self.configuration)
-        return self.encoded_configuration
+        if not self.cached_configuration_bytes and self.configuration is not None:
+            self.cached_configuration_bytes = msgspec.json.encode(self.configuration)
+        return self.cached_configuration_bytes
 
     def adopt_configuration(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
         """Adopt an encoded configuration if it is newer; return whether it was adopted."""
@@ -52,7 +52,7 @@
         """Adopt a decoded configuration if it is newer; return whether it was adopted."""
         if value.version <= self.config_version:
             return False
-        self.configuration, self.encoded_configuration = value, b""
+        self.configuration, self.cached_configuration_bytes = value, b""
         return True
 
     def adopt_operations(self, raw: bytes) -> result.Result[bool, errors.VersionRefusedError]:
--- a/tests/functional/test_agent_refusals.py
+++ b/tests/functional/test_agent_refusals.py
@@ -116,8 +116,8 @@
                 view.fresh_until.return_value, view.is_leaving.return_value = changed[2:]
                 await self.assert_refused(reason, self.attempt())
                 self.assertEqual((), self.runner.issue_slots().slot_ids)
-                withdraws = reason in (Reason.ZONE_OUT, Reason.INSTANCE_OUT, Reason.LEAVING)
-                self.assertEqual(withdraws, self.runner.is_retracted())
+                retracts = reason in (Reason.ZONE_OUT, Reason.INSTANCE_OUT, Reason.LEAVING)
+                self.assertEqual(retracts, self.runner.is_retracted())
         view.is_leaving.return_value = False
         self.assertIsInstance((await self.harness.run(self.attempt()))[-1], attempts.Finished)
 
@@ -160,7 +160,7 @@
         self.harness = await agent_harness.open_harness(self, "plain", (1, 1), service_ms=300)
         # Frequent load reports would also trigger the checks of staged calls.
         self.runner = await self.harness.start_agent(period=60.0)
-        self.runner.capacity.staged_depth.note_service_time(0.1)
+        self.runner.capacity.staged_depth.record_service_time(0.1)
         self.runner.record_one_way_delay(0.2)
         self.running = self.harness.spawn(self.harness.attempt())
         await agent_harness.until(lambda: self.harness.server.recorder.running == 1)
--- a/tests/unit/test_agent_state.py
+++ b/tests/unit/test_agent_state.py
@@ -53,7 +53,7 @@
         self.deadlines |= dict.fromkeys(slot_ids, deadline)
 
     @rule(slot_id=st.integers(0, 30))
-    def take(self, slot_id: int) -> None:
+    def use(self, slot_id: int) -> None:
         refusal = self.table.use(slot_id, self.now)
         left = self.deadlines.get(slot_id, 0.0) - self.now
         if slot_id not in self.used and left > 0:
@@ -90,7 +90,7 @@
         assert self.table.is_accepted(attempt_id)
 
     @rule()
-    def forget(self) -> None:
+    def drop_expired(self) -> None:
         self.table.drop_expired(self.now)
         kept = {name for name, deadline in self.deadlines.items() if deadline + 60.0 > self.now}
         assert set(self.table.accepted) == kept
@@ -116,7 +116,7 @@
 
     @rule(cold=st.booleans(), incarnation=st.integers(1, 2))
     def report(self, cold: bool, incarnation: int) -> None:
-        self.limit.note_report(cold, incarnation, 0, self.now, self.now)
+        self.limit.record_report(cold, incarnation, 0, self.now, self.now)
         restarted = self.incarnation not in (0, incarnation)
         self.cold, self.incarnation, self.reported_at = cold, incarnation, self.now
         if cold or restarted:
@@ -124,7 +124,7 @@
 
     @rule(old=st.booleans())
     def success(self, old: bool) -> None:
-        self.limit.note_success(self.limit.epoch - old, self.now)
+        self.limit.record_success(self.limit.epoch - old, self.now)
         if old or self.expected_limit == WARM_LIMIT:
             return
         self.successes += 1
@@ -143,7 +143,7 @@
 
     @rule()
     def failure(self) -> None:
-        self.limit.note_failure()
+        self.limit.record_failure()
         self.successes = 0
 
     @invariant()
@@ -169,7 +169,7 @@
         self.earlier = 3
         self.past: list[tuple[float, int]] = [(0.0, self.earlier)]
         self.estimate = in_flight.InFlightEstimate(1.0, self.now)
-        self.estimate.note_report(self.earlier, self.now, self.now)
+        self.estimate.record_report(self.earlier, self.now, self.now)
 
     @rule()
     def start(self) -> None:
@@ -193,13 +193,13 @@
         shown = [running for moment, running in self.past if moment <= self.now - lag][-1]
         requested_at = self.now
         self.now += trip
-        self.estimate.note_report(shown, requested_at, self.now)
+        self.estimate.record_report(shown, requested_at, self.now)
 
     @rule()
     def quiet(self) -> None:
         """A report of a period without changes gives the exact number."""
         self.now += 1.1
-        self.estimate.note_report(self.own + self.earlier, self.now, self.now)
+        self.estimate.record_report(self.own + self.earlier, self.now, self.now)
         assert self.estimate.total == self.own + self.earlier
 
     @invariant()
@@ -224,20 +224,20 @@
 class FirstTokenTest(unittest.TestCase):
     def setUp(self) -> None:
         self.limit = admission.AdmissionLimit(COLD_LIMIT, WARM_LIMIT, 0.0, 1.0)
-        self.limit.note_report(False, 1, 0, 0.0, 0.0)
+        self.limit.record_report(False, 1, 0, 0.0, 0.0)
         for _ in range(10):
-            self.assertFalse(self.limit.note_first_token(0.2, 0, 1.0))
+            self.assertFalse(self.limit.record_first_token(0.2, 0, 1.0))
         self.limit.raw_limit = WARM_LIMIT
 
     def test_first_token_above_four_times_the_mean_returns_to_cold(self) -> None:
-        self.assertFalse(self.limit.note_first_token(0.79, 0, 1.0))
+        self.assertFalse(self.limit.record_first_token(0.79, 0, 1.0))
         self.assertEqual(WARM_LIMIT, self.limit.limit)
-        self.assertTrue(self.limit.note_first_token(1.1, 0, 1.0))
+        self.assertTrue(self.limit.record_first_token(1.1, 0, 1.0))
         self.assertEqual((COLD_LIMIT, 1), (self.limit.limit, self.limit.epoch))
 
     def test_permanently_longer_prompts_raise_the_mean(self) -> None:
         returned_to_cold = [
-            self.limit.note_first_token(1.5, self.limit.epoch, 1.0) for _ in range(40)
+            self.limit.record_first_token(1.5, self.limit.epoch, 1.0) for _ in range(40)
         ]
         self.assertTrue(returned_to_cold[0])
         self.assertFalse(any(returned_to_cold[-20:]))
@@ -251,10 +251,10 @@
             ([(0.5, False), (1.0, True), (1.5, False), (2.5, False)], 0.0),
         ):
             times = first_token.FirstTokenTimes()
-            times.note_report(False, -1.0, 0.0)
-            times.note_suspected_cold(0.9, 1.2)
+            times.record_report(False, -1.0, 0.0)
+            times.record_suspected_cold(0.9, 1.2)
             for requested_at, cold in reports:
-                times.note_report(cold, requested_at - 1.0, requested_at)
+                times.record_report(cold, requested_at - 1.0, requested_at)
             self.assertEqual(tolerated, times.tolerated_seconds)
 
 
@@ -265,10 +265,10 @@
             now = number * 0.5
             estimate.start(now)
             estimate.end(now + 0.1, confirmed=number > 0)
-            estimate.note_report(1, now + 0.2, now + 0.2)
+            estimate.record_report(1, now + 0.2, now + 0.2)
         self.assertEqual(0, estimate.earlier_calls)
         estimate.start(101.0)
         estimate.end(102.0, confirmed=False)
         for now, earlier in ((111.0, 1), (112.1, 0)):
-            estimate.note_missing_report(now)
+            estimate.record_missing_report(now)
             self.assertEqual(earlier, estimate.earlier_calls)
--- a/tests/unit/test_fair_queue_model.py
+++ b/tests/unit/test_fair_queue_model.py
@@ -164,9 +164,9 @@
     def late_report(self, agent: str) -> None:
         """Apply reports of an earlier incarnation and with lower totals, which change nothing."""
         incarnation, totals = self.agents[agent]
-        known = self.queue.ledger.counters.get(agent)
-        if known is not None and known.incarnation == incarnation:
-            lower = {team: known.totals.get(team, 0.0) / 2 for team in totals}
+        recorded = self.queue.ledger.counters.get(agent)
+        if recorded is not None and recorded.incarnation == incarnation:
+            lower = {team: recorded.totals.get(team, 0.0) / 2 for team in totals}
             self.queue.apply_report(agent, incarnation, lower, {}, {})
             self.queue.apply_report(
                 agent, incarnation - 1, dict.fromkeys(TEAMS, 1000000000.0), {}, {}
--- a/tests/unit/test_staged_depth.py
+++ b/tests/unit/test_staged_depth.py
@@ -1,4 +1,4 @@
-"""Guards against an idle endpoint because its agent offers too few slots ahead of its limit."""
+"""Guards against an idle endpoint because its agent offers too few slots in excess of its limit."""
 
 import time
 import unittest
@@ -12,19 +12,21 @@
 
 
 class StagedDepthTest(unittest.TestCase):
-    def depth(self, *turnarounds: float, service: float = 0.05, hop: float = 0.001) -> int:
+    def depth(
+        self, *turnarounds: float, service: float = 0.05, one_way_delay: float = 0.001
+    ) -> int:
         depth = staged_depth.StagedDepth()
-        depth.note_hop_time(hop)
-        depth.note_service_time(service)
+        depth.record_one_way_delay(one_way_delay)
+        depth.record_service_time(service)
         for seconds in turnarounds:
-            depth.note_turnaround(seconds)
-        return depth.slots_ahead(LIMIT)
+            depth.record_turnaround(seconds)
+        return depth.slots_for(LIMIT)
 
-    def test_hop_time_alone_covers_three_hops(self) -> None:
+    def test_one_way_delay_alone_covers_three_messages(self) -> None:
         self.assertEqual(1, self.depth())
 
     def test_steady_turnaround_is_covered(self) -> None:
-        """Fails if only the hop time counts, which excludes the dispatcher's queue."""
+        """Fails if only the one-way delay counts, which excludes the dispatcher's queue."""
         self.assertGreaterEqual(self.depth(*[0.025] * 50), 3)
 
     def test_varying_turnaround_is_covered_up_to_its_deviation(self) -> None:
@@ -33,22 +35,22 @@
 
     def test_at_most_four_limits_and_none_for_long_calls(self) -> None:
         """Fails if a slow dispatcher makes agents stage calls without bound."""
-        self.assertEqual(4 * LIMIT, self.depth(hop=1.0))
-        self.assertEqual(0, self.depth(hop=1.0, service=0.3))
+        self.assertEqual(4 * LIMIT, self.depth(one_way_delay=1.0))
+        self.assertEqual(0, self.depth(one_way_delay=1.0, service=0.3))
 
     def test_long_turnaround_counts_up_to_one_call(self) -> None:
         """Fails if slots that queue behind each other raise the depth further."""
         self.assertEqual(LIMIT, self.depth(*[1.0] * 50))
 
     def test_depth_does_not_raise_the_number_of_calls_that_may_start(self) -> None:
-        """Fails if slots offered ahead allow calls to start above the limit."""
+        """Fails if slots offered in excess of the limit allow more calls to start."""
         now = time.monotonic()
         endpoint_capacity = capacity.EndpointCapacity(now - 60.0, 1.0)
         endpoint_capacity.limit.set_limits(LIMIT, LIMIT)
-        endpoint_capacity.staged_depth.note_hop_time(0.001)
-        endpoint_capacity.staged_depth.note_service_time(0.05)
+        endpoint_capacity.staged_depth.record_one_way_delay(0.001)
+        endpoint_capacity.staged_depth.record_service_time(0.05)
         for _ in range(50):
-            endpoint_capacity.staged_depth.note_turnaround(1.0)
+            endpoint_capacity.staged_depth.record_turnaround(1.0)
         for _ in range(LIMIT):
             self.assertTrue(endpoint_capacity.may_start(mock.sentinel.plain, now))
             endpoint_capacity.in_flight.start(now)
