--- a/src/masticward/coordination/admission_checks.py
+++ b/src/masticward/coordination/admission_checks.py
@@ -146,7 +146,8 @@
             return None if same and in_grace_period else Reason.OLDER_CONFIGURATION
         if operation is None:
             return Reason.NO_CONFIGURATION
-        # The entry routed the call before it received the configuration that it now reports.
+        # With equal versions, a different digest means that the entry routed the call before it
+        # received the configuration whose version it sent with the attempt.
         return None if same else Reason.OLDER_CONFIGURATION
 
 
--- a/src/masticward/coordination/dispatcher.py
+++ b/src/masticward/coordination/dispatcher.py
@@ -455,8 +455,8 @@
     def read_parameters(self) -> ledger.FairShareParameters:
         """Return team shares and cost limits from the newest configuration.
 
-        The debt cap is what a team owes if it holds every slot with requests of the maximum cost.
-        A lower cap would repeatedly forgive ordinary underestimates of request costs.
+        The debt cap is the cost of one request of the maximum cost in every slot. With a lower cap,
+        ordinary underestimates of request costs would repeatedly not be charged in full.
         """
         configuration = self.view.configuration
         services = configuration.services if configuration is not None else ()
--- a/src/masticward/coordination/offers.py
+++ b/src/masticward/coordination/offers.py
@@ -32,8 +32,8 @@
 # The primary dispatcher and its standby.
 SESSION_COUNT = 2
 # A dispatcher that is no longer used returns its free slots within a round trip. Slots that are not
-# returned count as issued until they expire after 2 s, so that the agent can offer few slots to
-# the new dispatcher until then.
+# returned count as issued until they expire after 2 s, which leaves only few slots to offer to the
+# new dispatcher until then.
 RELEASE_TIMEOUT_SECONDS = 0.5
 
 
--- a/src/masticward/state/admission.py
+++ b/src/masticward/state/admission.py
@@ -23,7 +23,7 @@
 
     The limit rises from ``cold_limit`` to ``warm_limit`` by one after as many successful calls in a
     row as it allows at a time. ``epoch`` is incremented with each return to cold: calls that were
-    started in an earlier epoch say nothing about the current state and do not raise the limit.
+    started in an earlier epoch do not show the current state and do not raise the limit.
     """
 
     __slots__ = (
@@ -143,7 +143,7 @@
     def record_first_token(self, seconds: float, epoch: int, now: float) -> bool:
         """Apply a first-token time; True if it led to a return to cold.
 
-        Times are added to the mean while load reports say that the endpoint is not cold. If only
+        Times are added to the mean while load reports show that the endpoint is not cold. If only
         times of the warm state were, an endpoint that had just become warm would have no mean. Slow
         times are always added, so that permanently longer prompts do not keep the endpoint at its
         cold limit.
--- a/src/masticward/state/attempts.py
+++ b/src/masticward/state/attempts.py
@@ -2,7 +2,8 @@
 
 import heapq
 
-# A duplicate that was delayed in the network carries a remaining time from before the delay.
+# Attempts carry their remaining time, not a point in time. A duplicate that was delayed in the
+# network therefore has a later deadline than the original and may arrive after the original's.
 RETENTION_AFTER_DEADLINE_SECONDS = 60.0
 
 
--- a/src/masticward/state/entry_queue.py
+++ b/src/masticward/state/entry_queue.py
@@ -20,7 +20,7 @@
 
 
 class QueueReservation:
-    """The share of the limits that one request uses, from its head to its outcome."""
+    """The part of the limits that one request uses, from its head to its outcome."""
 
     __slots__ = ("body_bytes", "queue", "released", "request_id", "team")
 
@@ -161,7 +161,7 @@
         largest = max(candidates, key=size_of)
         if size_of(largest) <= size_after:
             return False
-        victim = next(reversed(largest.waiting.values()))
-        self.release(victim)
-        self.on_evict(victim.request_id)
+        evicted = next(reversed(largest.waiting.values()))
+        self.release(evicted)
+        self.on_evict(evicted.request_id)
         return True
--- a/src/masticward/state/fair_queue.py
+++ b/src/masticward/state/fair_queue.py
@@ -58,14 +58,14 @@
 
     @abc.abstractmethod
     def record_group_added(self, group: str, lowest_rank: float | None) -> None:
-        """Note that a group gets its first waiting ticket.
+        """Record that a group gets its first waiting ticket.
 
         ``lowest_rank`` is the lowest rank of the other groups, None if there are none.
         """
 
     @abc.abstractmethod
     def record_group_served(self, group: str) -> None:
-        """Note that a ticket of the group was dispatched."""
+        """Record that a ticket of the group was dispatched."""
 
 
 class FairSharePolicy(QueuePolicy):
@@ -188,28 +188,28 @@
         if ticket.id in self.waiting:
             return False
         self.sequence += 1
-        entry = WaitingTicket(ticket, self.policy.group_of(ticket), self.sequence)
+        waiting_ticket = WaitingTicket(ticket, self.policy.group_of(ticket), self.sequence)
         self.ledger.add_waiting(ticket.team)
-        group = self.groups.get(entry.group)
+        group = self.groups.get(waiting_ticket.group)
         if group is None:
             self.policy.record_group_added(
-                entry.group, self.group_order[0][0] if self.group_order else None
+                waiting_ticket.group, self.group_order[0][0] if self.group_order else None
             )
-            group = self.groups[entry.group] = TicketGroup()
-        group.tickets.add(entry.key)
-        self.waiting[ticket.id] = entry
+            group = self.groups[waiting_ticket.group] = TicketGroup()
+        group.tickets.add(waiting_ticket.key)
+        self.waiting[ticket.id] = waiting_ticket
         self.deadlines.add((ticket.deadline, ticket.id))
-        self.reposition(entry.group)
+        self.reposition(waiting_ticket.group)
         return True
 
     def remove(self, ticket_id: str) -> work.Ticket | None:
         """Remove and return a waiting ticket; None if no ticket with this id is waiting."""
-        entry = self.waiting.get(ticket_id)
-        if entry is None:
+        waiting_ticket = self.waiting.get(ticket_id)
+        if waiting_ticket is None:
             return None
-        self.remove_from_orders(entry)
-        self.ledger.remove_waiting(entry.ticket.team)
-        return entry.ticket
+        self.remove_from_orders(waiting_ticket)
+        self.ledger.remove_waiting(waiting_ticket.ticket.team)
+        return waiting_ticket.ticket
 
     def take(self, now: float) -> TakenTicket | None:
         """Remove the next ticket and reserve its estimated cost; None if no ticket is waiting.
@@ -220,16 +220,16 @@
         if not self.group_order:
             return None
         group = self.groups[self.group_order[0][3]]
-        entry = self.waiting[group.tickets[0][3]]
-        ticket = entry.ticket
+        waiting_ticket = self.waiting[group.tickets[0][3]]
+        ticket = waiting_ticket.ticket
         virtual_time = self.ledger.effective_of(ticket.team)
         estimate = self.ledger.estimate(ticket.team, ticket.cost_hint)
-        self.remove_from_orders(entry)
+        self.remove_from_orders(waiting_ticket)
         self.reservations[ticket.id] = Reservation(ticket.team, estimate, ticket.cost_hint)
-        self.policy.record_group_served(entry.group)
+        self.policy.record_group_served(waiting_ticket.group)
         self.ledger.reserve(ticket.team, estimate)
         self.ledger.remove_waiting(ticket.team)
-        self.reposition(entry.group)
+        self.reposition(waiting_ticket.group)
         return TakenTicket(ticket, virtual_time, estimate)
 
     def drop_expired(self, now: float) -> list[work.Ticket]:
@@ -283,13 +283,13 @@
         self.ledger.release(reservation.team, reservation.outstanding)
         return True
 
-    def remove_from_orders(self, entry: WaitingTicket) -> None:
+    def remove_from_orders(self, waiting_ticket: WaitingTicket) -> None:
         """Remove a waiting ticket from its group and from the orders of groups and deadlines."""
-        del self.waiting[entry.ticket.id]
-        self.deadlines.remove((entry.ticket.deadline, entry.ticket.id))
-        group = self.groups[entry.group]
-        group.tickets.remove(entry.key)
-        self.reposition(entry.group)
+        del self.waiting[waiting_ticket.ticket.id]
+        self.deadlines.remove((waiting_ticket.ticket.deadline, waiting_ticket.ticket.id))
+        group = self.groups[waiting_ticket.group]
+        group.tickets.remove(waiting_ticket.key)
+        self.reposition(waiting_ticket.group)
 
     def reposition(self, name: str) -> None:
         """Update a group's place in the order; delete the group if it has no tickets."""
--- a/src/masticward/state/frames.py
+++ b/src/masticward/state/frames.py
@@ -145,7 +145,7 @@
         return errors.AttemptRefusedError(refused.reason, refused.retry_after_ms, refused.detail)
 
     def failure(self, failed: masticward_pb2.Failed) -> errors.MasticwardError:
-        """Return the error for a failure; a claim of "not run" is accepted only before the head."""
+        """Return the error for a failure; "not run" is accepted only before the head."""
         if failed.may_have_run or self.head_received:
             return errors.AttemptFailedError(failed.reason or "the agent reports a failure")
         return errors.AttemptRefusedError("endpoint-not-started", 0, failed.reason)
--- a/src/masticward/state/in_flight.py
+++ b/src/masticward/state/in_flight.py
@@ -12,8 +12,8 @@
     """Estimates the calls in flight at one endpoint. Times are monotonic seconds.
 
     ``earlier_calls`` counts calls that the endpoint runs and this agent does not: those of a
-    previous agent, and those that were cancelled or disconnected without their end being seen
-    (detached calls). A report requested at time t shows the endpoint at some time after
+    previous agent, and those that were cancelled or disconnected without confirmation that they
+    ended (detached calls). A report requested at time t shows the endpoint at some time after
     t - ``report_lag_seconds``. Running calls in excess of the own calls within that window are
     earlier calls, so an own call that ended within the window is not counted twice.
     """
--- a/src/masticward/state/ledger.py
+++ b/src/masticward/state/ledger.py
@@ -384,11 +384,11 @@
     def adopt(self, snapshot: Snapshot) -> None:
         """Replace the virtual times by those of a snapshot and charge the service since then."""
         self.pending_snapshot = None
-        snapshot_teams = {entry.team: entry for entry in snapshot.teams}
-        for name, entry in snapshot_teams.items():
+        snapshot_teams = {item.team: item for item in snapshot.teams}
+        for name, item in snapshot_teams.items():
             account = self.account_of(name)
-            account.charged = entry.virtual_time
-            account.mean_cost = account.mean_cost or entry.mean_cost
+            account.charged = item.virtual_time
+            account.mean_cost = account.mean_cost or item.mean_cost
         for name, account in self.accounts.items():
             if name not in snapshot_teams:
                 account.charged = snapshot.system_virtual_time
@@ -417,11 +417,11 @@
         any other team was idle and starts again at the system virtual time.
         """
         snapshot_counters: dict[str, AgentCounters] = {}
-        for entry in included:
+        for item in included:
             agent_counters = snapshot_counters.setdefault(
-                entry.agent_id, AgentCounters(entry.incarnation, {})
+                item.agent_id, AgentCounters(item.incarnation, {})
             )
-            agent_counters.totals[entry.team] = entry.total
+            agent_counters.totals[item.team] = item.total
         increases: dict[str, float] = {}
         for agent_id, counters in self.counters.items():
             base = snapshot_counters.get(agent_id)
--- a/src/masticward/state/membership.py
+++ b/src/masticward/state/membership.py
@@ -58,7 +58,7 @@
 
 
 class MembershipView:
-    """The members of the fleet as one process sees them.
+    """The members of the fleet in the view of one process.
 
     While the instance list is unavailable, the last one stays in force. The process's own instance
     is always a member. ``revision`` grows with every change. Time-outs are applied by ``expire``,
--- a/src/masticward/state/retry_budget.py
+++ b/src/masticward/state/retry_budget.py
@@ -1,7 +1,7 @@
 """Limit on the retries of an entry, as a fraction of its requests."""
 
-# Also the initial level. Lets an entry with little traffic absorb one availability zone move, in
-# which attempts on the slots in flight are refused.
+# Also the initial level. Enough for an entry with little traffic to retry the attempts that are
+# refused because an availability zone is taken out of service while their slots are in flight.
 BURST_TOKENS = 100.0
 
 
--- a/src/masticward/state/route_table.py
+++ b/src/masticward/state/route_table.py
@@ -28,7 +28,7 @@
     def add_operation(
         self, service: configuration_models.Service, operation: configuration_models.Operation
     ) -> None:
-        """Index one operation. The first operation declared for a method and path wins."""
+        """Index one operation. The first operation declared for a method and path is used."""
         method = operation.method.upper()
         if operation.path.endswith(WILDCARD_SUFFIX):
             prefix = operation.path.removesuffix(WILDCARD_SUFFIX)
--- a/tests/lib/dispatch_fleet.py
+++ b/tests/lib/dispatch_fleet.py
@@ -148,10 +148,10 @@
         now = time.monotonic()
         self.slots = {key: value for key, value in self.slots.items() if value > now}
         count = self.limit - len(self.slots) - len(self.running)
-        fresh = tuple(range(self.next_slot, self.next_slot + max(0, count)))
-        self.next_slot += len(fresh)
-        self.slots.update(dict.fromkeys(fresh, now + 2.0))
-        return offers.SlotOffer(slot_ids=fresh, deadline=now + 2.0)
+        slot_ids = tuple(range(self.next_slot, self.next_slot + max(0, count)))
+        self.next_slot += len(slot_ids)
+        self.slots.update(dict.fromkeys(slot_ids, now + 2.0))
+        return offers.SlotOffer(slot_ids=slot_ids, deadline=now + 2.0)
 
     def reclaim_slots(self, slot_ids: tuple[int, ...]) -> None:
         for slot_id in slot_ids:
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Guards against slots and cost reservations that are lost, reused or kept for good."""
+"""Guards against slots and cost reservations that are lost, reused or never released."""
 
 import time
 import unittest
