--- a/src/masticward/gateway/fleet.py
+++ b/src/masticward/gateway/fleet.py
@@ -1,4 +1,4 @@
-"""One gateway process's view of the fleet: configuration, endpoints, loads and peers."""
+"""State of the fleet in one gateway process: configuration, endpoints, loads and peers."""
 
 from masticward import events, logs
 from masticward.models import gateway
@@ -20,7 +20,7 @@
 
 
 class FleetState:
-    """The fleet as this process sees it. Times are seconds of ``clocks.boot_time``.
+    """The state of the fleet in one gateway process. Times are in seconds of ``clocks.boot_time``.
 
     A proof is a read of the store which shows that the configuration in force is the newest one.
     API keys are accepted only while the latest proof, a peer's or this process's own, is recent
@@ -46,9 +46,9 @@
         self.cold_start_limiter = cold_start.ColdStartLimiter()
         self.budgets: dict[str, retry_window.WindowedRetryBudget] = {}
         self.view = placement.PlacementView(self.loads, self.caches, self.health)
-        # Ids of gateways with a recent datagram that are not stopping, and of this one.
+        # IDs of this gateway and of those with a recent datagram that are not stopping.
         self.live_gateways: list[str] = [settings.instance_id]
-        # All gateways ever seen, live or not; fleet-wide budgets are divided among them.
+        # All gateways discovered so far, live or not; fleet-wide budgets are divided among them.
         self.known_gateway_count = 1
         self.routes_by_host: dict[str, list[gateway.Route]] = {}
 
@@ -98,7 +98,7 @@
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
     def proof_is_fresh(self, now: float) -> bool:
-        """Return whether the configuration was proven recently enough to accept its keys."""
+        """Return whether the configuration was proven recently enough to accept its API keys."""
         allowed_age = self.settings.bounds.revoke_seconds - REVOKE_MARGIN_SECONDS
         return now - self.configuration_proven_at < allowed_age
 
@@ -149,12 +149,12 @@
 
     def apply_evacuations(self, items: list[tuple[str, bool]], complete: bool) -> None:
         """Apply a listing (``complete``) or changes of the zones that operators evacuated."""
-        zones = set() if complete else set(self.table.out_zones)
-        for zone, out in items:
-            if out:
+        zones = set() if complete else set(self.table.evacuated_zones)
+        for zone, evacuated in items:
+            if evacuated:
                 zones.add(zone)
             else:
                 zones.discard(zone)
         services = self.configuration.services if self.configuration else {}
-        if self.table.set_out_zones(zones, clocks.boot_time(), services):
+        if self.table.set_evacuated_zones(zones, clocks.boot_time(), services):
             LOGGER.log(events.Event.ZONES_OUT_CHANGED, zones=sorted(zones))
--- a/src/masticward/models/gateway.py
+++ b/src/masticward/models/gateway.py
@@ -24,7 +24,11 @@
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """A route, matched by host and path prefix."""
+    """A route, matched by host and path prefix.
+
+    Requests of a ``public`` route need no API key. A broken stream of a ``resumable`` route is
+    resumed at another endpoint after the last event that was sent to the client.
+    """
 
     name: str
     host: str
@@ -100,7 +104,7 @@
 
 
 class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """Metadata of a client's request. ``forwarded`` has the headers to send to the endpoint."""
+    """Metadata of a client's request. ``forwarded_headers`` go on to the endpoint."""
 
     request_id: str
     method: bytes
@@ -113,20 +117,21 @@
     output_tokens: int
     parts: tuple[PromptPart, ...]
     last_event_id: str | None
-    forwarded: tuple[tuple[bytes, bytes], ...]
+    forwarded_headers: tuple[tuple[bytes, bytes], ...]
     arrived_at: float
 
 
 class ResponseMetadata(msgspec.Struct, frozen=True, kw_only=True):
     """Metadata from the headers of an endpoint's response.
 
-    ``proven`` is set if the response carries its proof, ``not_run`` if the endpoint did not
-    execute the request, ``encoded`` if the body has a content encoding, and ``closes`` if the
-    connection ends after the response. ``running`` and ``waiting`` count requests at the endpoint.
+    ``signed`` is set if the response carries the endpoint's signature, ``not_run`` if the
+    endpoint did not execute the request, ``encoded`` if the body has a content encoding, and
+    ``closes`` if the connection ends after the response. ``running`` and ``waiting`` count
+    requests at the endpoint.
     """
 
     request_id: str | None
-    proven: bool
+    signed: bool
     not_run: bool
     encoded: bool
     keep_alive_seconds: float | None
@@ -138,8 +143,9 @@
 class Bounds(msgspec.Struct, frozen=True, kw_only=True):
     """Limits that apply to the fleet as a whole.
 
-    API keys are accepted only with a proof of the configuration that is younger than
-    ``revoke_seconds``. Within ``retry_window_seconds``, retries of a service are limited to
+    API keys are accepted only while the latest proof that the configuration is the newest one is
+    younger than ``revoke_seconds``. The platform kills a stopping process after
+    ``stop_grace_seconds``. Within ``retry_window_seconds``, retries of a service are limited to
     ``retry_ratio`` times its requests plus ``retry_slack``. A cold endpoint gets at most its
     rate times ``cold_overage`` plus ``cold_slack`` requests per second.
     """
--- a/src/masticward/protocol/dispatch_assignments.py
+++ b/src/masticward/protocol/dispatch_assignments.py
@@ -1,6 +1,7 @@
-"""Assignments on an entry's session: an agent's identity is sent once and is a number from then on.
+"""Encoding of assignments on an entry's session.
 
-Agent incarnations are numbered from 0 in the order in which they first appear on the session.
+An agent's identity is sent once and replaced by a number in later assignments. Agent incarnations
+are numbered from 0 in the order in which they first appear on the session.
 """
 
 from masticward import errors
@@ -10,12 +11,12 @@
 
 
 class AssignmentWriter:
-    """The dispatcher's end of one session."""
+    """Encodes the assignments of one session, on the dispatcher."""
 
-    __slots__ = ("numbers",)
+    __slots__ = ("agent_numbers",)
 
     def __init__(self) -> None:
-        self.numbers: dict[tuple[str, int, str, str], int] = {}
+        self.agent_numbers: dict[tuple[str, int, str, str], int] = {}
 
     def write(self, assignment: work.Assignment) -> masticward_pb2.Assign:
         """Return the wire form of an assignment."""
@@ -26,10 +27,10 @@
             slot.agent_address,
             slot.availability_zone,
         )
-        number = self.numbers.get(identity)
+        number = self.agent_numbers.get(identity)
         agent = None
         if number is None:
-            number = self.numbers[identity] = len(self.numbers)
+            number = self.agent_numbers[identity] = len(self.agent_numbers)
             agent = masticward_pb2.AgentIdentity(
                 agent_id=slot.agent_id,
                 incarnation=slot.agent_incarnation,
@@ -48,7 +49,7 @@
 
 
 class AssignmentReader:
-    """The entry's end of one session."""
+    """Decodes the assignments of one session, on the entry."""
 
     __slots__ = ("agents",)
 
@@ -56,7 +57,10 @@
         self.agents: dict[int, masticward_pb2.AgentIdentity] = {}
 
     def read(self, message: masticward_pb2.Assign) -> work.Assignment:
-        """Return the assignment of a message. Raises SessionMessageError on an unknown number."""
+        """Return the assignment of a message.
+
+        Raises SessionMessageError if the session has not defined the agent's number.
+        """
         if message.HasField("agent"):
             self.agents[message.agent_number] = message.agent
         agent = self.agents.get(message.agent_number)
