--- a/src/masticward/coordination/configuration_reader.py
+++ b/src/masticward/coordination/configuration_reader.py
@@ -17,12 +17,12 @@
 class ConfigurationReader:
     """Caches the parts of the latest configuration, so that only changed shards are transferred."""
 
-    __slots__ = ("known_shards", "known_teams", "manifest", "store", "stored_versions", "version")
+    __slots__ = ("cached_shards", "cached_teams", "manifest", "store", "stored_versions", "version")
 
     def __init__(self, store: object_api.ObjectStore) -> None:
         self.store = store
-        self.known_shards: dict[str, bytes] = {}
-        self.known_teams: dict[str, tuple[configuration_models.Team, ...]] = {}
+        self.cached_shards: dict[str, bytes] = {}
+        self.cached_teams: dict[str, tuple[configuration_models.Team, ...]] = {}
         # Versions of the shards in the object API, by object name.
         self.stored_versions: dict[str, int] = {}
         self.manifest = b""
@@ -43,8 +43,8 @@
             return stored.value
 
         async def read(name: str) -> result.Result[bytes, errors.StoreError]:
-            if name in self.known_shards:
-                return result.Success(self.known_shards[name])
+            if name in self.cached_shards:
+                return result.Success(self.cached_shards[name])
             async with semaphore:
                 answer = await self.store.get(objects.team_shard_object_name(name), deadline)
             return answer.map(record_version)
@@ -69,11 +69,11 @@
         if isinstance(decoded, result.Failure):
             return result.Failure(decoded.failure())
         manifest = decoded.unwrap()
-        known = {**received, **self.known_shards}
-        missing = [name for name in manifest.team_shards if name not in known]
+        available = {**received, **self.cached_shards}
+        missing = [name for name in manifest.team_shards if name not in available]
         if missing:
             return result.Failure(errors.VersionRefusedError(f"{len(missing)} shards are missing"))
-        return self.join(manifest, {name: known[name] for name in manifest.team_shards})
+        return self.join(manifest, {name: available[name] for name in manifest.team_shards})
 
     def join(
         self, manifest: configuration_models.Manifest, contents: dict[str, bytes]
@@ -86,12 +86,12 @@
             # Only changed shards are decoded: decoding all shards of 31,000 teams blocked the event
             # loop for 60 ms.
             teams = {
-                name: self.known_teams.get(name) or shards.decode(name, content)
+                name: self.cached_teams.get(name) or shards.decode(name, content)
                 for name, content in contents.items()
             }
         except (ValueError, msgspec.DecodeError) as error:
             return result.Failure(errors.VersionRefusedError(f"shard: {error}"))
-        self.known_shards, self.known_teams = contents, teams
+        self.cached_shards, self.cached_teams = contents, teams
         names = {objects.team_shard_object_name(name) for name in contents}
         self.stored_versions = {
             name: version for name, version in self.stored_versions.items() if name in names
--- a/src/masticward/coordination/peer_exchange.py
+++ b/src/masticward/coordination/peer_exchange.py
@@ -116,7 +116,7 @@
         members = self.view.members()
         self.rotation.set_members(members)
         present = {instance.id for instance in members}
-        for instance_id in [known for known in self.consecutive_failures if known not in present]:
+        for instance_id in [key for key in self.consecutive_failures if key not in present]:
             del self.consecutive_failures[instance_id]
 
     def start_exchange(self, peer: membership_models.Instance) -> None:
--- a/src/masticward/coordination/store_follower.py
+++ b/src/masticward/coordination/store_follower.py
@@ -14,10 +14,11 @@
 # Each pending watch counts as one call to the object API.
 WATCH_TIMEOUT_SECONDS = 10.0
 MINIMUM_WATCH_RETRY_SECONDS = 0.5
-# Limit for all entries together while the object API is unavailable, at any size of the fleet.
+# Limits the retries of all entries together while the object API is unavailable, whatever the
+# size of the fleet.
 FLEET_WATCH_RETRIES_PER_SECOND = 100.0
 MINIMUM_FALLBACK_PERIOD_SECONDS = 10.0
-# Limit for all processes without a watch together, at any size of the fleet.
+# Limits the reads of all processes without a watch together, whatever the size of the fleet.
 FLEET_FALLBACK_READS_PER_SECOND = 20.0
 
 LOGGER = logs.get_logger(__name__)
--- a/src/masticward/coordination/version_keeper.py
+++ b/src/masticward/coordination/version_keeper.py
@@ -51,7 +51,7 @@
         reader = self.reader
         if not reader.version or reader.version != self.versions.config_version:
             return None
-        return peers.ConfigurationParts(reader.version, reader.manifest, reader.known_shards)
+        return peers.ConfigurationParts(reader.version, reader.manifest, reader.cached_shards)
 
     def is_behind(self, config_version: int, operations_version: int) -> bool:
         """Return whether one of the versions is newer than that of this process."""
--- a/src/masticward/coordination/version_puller.py
+++ b/src/masticward/coordination/version_puller.py
@@ -64,7 +64,7 @@
                 self.keeper.adopt(kind, reply.value, address)
             return
         async with self.configuration_lock:
-            known_shards = list(self.keeper.reader.known_shards)
+            known_shards = list(self.keeper.reader.cached_shards)
             reply = await self.fetch(
                 address, kind, CONFIGURATION_FETCH_TIMEOUT_SECONDS, known_shards
             )
--- a/tests/functional/test_view.py
+++ b/tests/functional/test_view.py
@@ -138,8 +138,8 @@
         """Fails if a process adopts a configuration whose shards do not match the manifest."""
         await self.platform.publish(share=1.0)
         entry = await self.platform.add(platforms.make_entry("e1"))
-        name = next(iter(entry.view.reader.known_shards))
-        entry.view.reader.known_shards[name] = b'{"teams":[]}'
+        name = next(iter(entry.view.reader.cached_shards))
+        entry.view.reader.cached_shards[name] = b'{"teams":[]}'
         other = await self.platform.add(
             platforms.make_agent("a1"), object_api_url=platforms.UNREACHABLE_URL
         )
