--- a/src/masticward/coordination/entry_meters.py
+++ b/src/masticward/coordination/entry_metrics.py
@@ -1,19 +1,26 @@
-"""Metrics of the entry. Label values are bounded: outcomes, statuses and refusal reasons."""
+"""Metrics of the entry. Label values are bounded: outcomes, error kinds and refusal reasons."""
 
 import prometheus_client
 
 from masticward import metrics
 from masticward.models import work
 
-QUEUE_SECONDS_BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0, 60.0, 300.0)
+QUEUE_BUCKETS_SECONDS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 15.0, 60.0, 300.0)
 OTHER_REASON = "other"
-KNOWN_REASONS = frozenset(reason.value for reason in work.RefusalReason)
+REFUSAL_REASONS = frozenset(reason.value for reason in work.RefusalReason)
 
 
-class EntryMeters:
-    """The entry's counters, gauges and histograms."""
+class EntryMetrics:
+    """The metrics of one entry."""
 
-    __slots__ = ("bytes_held", "held", "queue_length", "queue_seconds", "refusals", "requests")
+    __slots__ = (
+        "held_bytes",
+        "held_requests",
+        "queue_length",
+        "queue_seconds",
+        "refusals",
+        "requests",
+    )
 
     def __init__(self, process_metrics: metrics.ProcessMetrics) -> None:
         registry = process_metrics.registry
@@ -32,23 +39,23 @@
         self.queue_length = prometheus_client.Gauge(
             "masticward_entry_queue_requests", "Requests that wait for a slot.", registry=registry
         )
-        self.held = prometheus_client.Gauge(
+        self.held_requests = prometheus_client.Gauge(
             "masticward_entry_held_requests", "Requests that are not finished.", registry=registry
         )
-        self.bytes_held = prometheus_client.Gauge(
+        self.held_bytes = prometheus_client.Gauge(
             "masticward_entry_held_body_bytes", "Bytes of request bodies held.", registry=registry
         )
         self.queue_seconds = prometheus_client.Histogram(
             "masticward_entry_queue_seconds",
             "Time from arrival to the first slot.",
-            buckets=QUEUE_SECONDS_BUCKETS,
+            buckets=QUEUE_BUCKETS_SECONDS,
             registry=registry,
         )
 
     def count_outcome(self, outcome: work.Outcome, kind: str) -> None:
-        """Count a finished request; ``kind`` is a refusal type or ``answered``."""
+        """Count a finished request; ``kind`` is the kind of the error or how the request ended."""
         self.requests.labels(outcome.value, kind).inc()
 
     def count_refusal(self, reason: str) -> None:
         """Count a refused attempt."""
-        self.refusals.labels(reason if reason in KNOWN_REASONS else OTHER_REASON).inc()
+        self.refusals.labels(reason if reason in REFUSAL_REASONS else OTHER_REASON).inc()
--- a/src/masticward/coordination/request_context.py
+++ b/src/masticward/coordination/request_context.py
@@ -1,23 +1,28 @@
-"""What all requests of one entry share."""
+"""Dependencies that all requests of an entry share."""
 
-from masticward.coordination import claims, entry_meters, fleet_view, ticket_submitter
+from masticward.coordination import claims, entry_metrics, fleet_view, ticket_submitter
 from masticward.protocol import attempt_client
 from masticward.state import retry_budget
 
 
 class RequestContext:
-    """Clients, bounds and metrics of one entry; ``refusal_limit`` holds for each request."""
+    """Clients, limits and metrics of one entry.
+
+    ``attempts`` sends attempts to agents. ``budget`` limits the repeated attempts of all requests
+    together, ``refusal_limit`` the refused attempts of each. ``claim_service`` is None without
+    object API.
+    """
 
     __slots__ = (
         "attempts",
         "budget",
-        "claims",
+        "claim_service",
         "entry_id",
-        "meters",
+        "metrics",
         "refusal_limit",
         "submitter",
         "view",
-    )  # fmt: skip
+    )
 
     def __init__(
         self,
@@ -28,14 +33,14 @@
         claim_service: claims.ClaimService | None,
         submitter: ticket_submitter.TicketSubmitter,
         budget: retry_budget.RetryBudget,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         refusal_limit: int,
     ) -> None:
         self.entry_id = entry_id
         self.view = view
         self.attempts = attempts
-        self.claims = claim_service
+        self.claim_service = claim_service
         self.submitter = submitter
         self.budget = budget
-        self.meters = meters
+        self.metrics = metrics
         self.refusal_limit = refusal_limit
--- a/src/masticward/platform/store.py
+++ b/src/masticward/platform/store.py
@@ -27,7 +27,7 @@
 LOGGER = logs.get_logger(__name__)
 
 
-class Metadata(msgspec.Struct):
+class ObjectMetadata(msgspec.Struct):
     """The metadata that the store maintains for an object."""
 
     name: str
@@ -51,7 +51,7 @@
 
 
 class WatchBody(msgspec.Struct):
-    """Changes after the revision of a watch."""
+    """Changes after the requested revision."""
 
     events: list[WatchEvent]
     current_rev: int
@@ -74,7 +74,7 @@
         timeout_seconds: float,
         document: typing.Any = None,
     ) -> tuple[int, bytes]:
-        """Make one call and return its status and body.
+        """Make one HTTP call and return its status and body.
 
         Raise StoreUnavailableError if there is no complete response in time.
         """
@@ -186,7 +186,7 @@
     An object with valid metadata and invalid content is returned with the value None.
     """
     try:
-        metadata = msgspec.convert(document.get("metadata"), Metadata)
+        metadata = msgspec.convert(document.get("metadata"), ObjectMetadata)
     except msgspec.ValidationError as error:
         LOGGER.log(events.Event.STORED_OBJECT_UNREADABLE, kind=kind.value, error=str(error))
         return None
--- a/src/masticward/state/endpoint_table.py
+++ b/src/masticward/state/endpoint_table.py
@@ -15,7 +15,10 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A state change of an endpoint: "added", "draining" or "gone"."""
+    """A state change of an endpoint: "added", "draining" or "gone".
+
+    A new incarnation of a listed endpoint also counts as "added".
+    """
 
     endpoint_id: str
     state: str
@@ -28,19 +31,20 @@
     __slots__ = (
         "cached_digest",
         "endpoints",
+        "evacuated_zones",
         "grace_until",
         "missing",
-        "out_zones",
         "zone_cold_until",
     )
 
     def __init__(self) -> None:
         self.endpoints: dict[str, gateway.Endpoint] = {}
-        # Endpoints whose store entries expired during an outage, with the time of their removal.
+        # Endpoints whose store entries expired during an outage, with the time at which they
+        # are removed.
         self.missing: dict[str, float] = {}
-        self.out_zones: set[str] = set()
+        self.evacuated_zones: set[str] = set()
         # Zones back in service, with the time until which their endpoints count as cold: they may
-        # have cooled down meanwhile.
+        # have lost their warm state while they received no requests.
         self.zone_cold_until: dict[str, float] = {}
         self.grace_until = 0.0
         # None while the digest is out of date.
@@ -76,7 +80,7 @@
         return changes
 
     def put(self, endpoint: gateway.Endpoint, changes: list[Change]) -> None:
-        """Add or replace an endpoint."""
+        """Add or replace an endpoint, and append its state changes to ``changes``."""
         previous = self.endpoints.get(endpoint.id)
         self.missing.pop(endpoint.id, None)
         self.endpoints[endpoint.id] = endpoint
@@ -105,19 +109,19 @@
             self.endpoints.pop(endpoint_id, None)
             changes.append(Change(endpoint_id, "gone", "not listed after an outage"))
 
-    def set_out_zones(
+    def set_evacuated_zones(
         self, zones: set[str], now: float, services: collections.abc.Mapping[str, gateway.Service]
     ) -> bool:
-        """Set the zones that operators have taken out of service; return whether they changed."""
-        if zones == self.out_zones:
+        """Set the zones that operators have evacuated; return whether they changed."""
+        if zones == self.evacuated_zones:
             return False
         self.cached_digest = None
         longest_cold_start = max(
             (item.cold_start_seconds for item in services.values()), default=0.0
         )
-        for zone in self.out_zones - zones:
+        for zone in self.evacuated_zones - zones:
             self.zone_cold_until[zone] = now + longest_cold_start
-        self.out_zones = set(zones)
+        self.evacuated_zones = set(zones)
         return True
 
     def usable(self, service: str, now: float) -> list[gateway.Endpoint]:
@@ -127,19 +131,19 @@
             for endpoint in self.endpoints.values()
             if endpoint.service == service
             and not endpoint.draining
-            and endpoint.availability_zone not in self.out_zones
+            and endpoint.availability_zone not in self.evacuated_zones
             and self.missing.get(endpoint.id, now + 1) > now
         ]
 
     def digest(self) -> int:
-        """Return a hash of the listed endpoints and out zones that is the same in all processes."""
+        """Return a hash of the listed endpoints and evacuated zones, the same in all processes."""
         if self.cached_digest is None:
             listed = sorted(
                 f"{item.id} {item.born} {item.draining}"
                 for item in self.endpoints.values()
                 if item.id not in self.missing
             )
-            self.cached_digest = identifiers.stable_hash(*listed, *sorted(self.out_zones))
+            self.cached_digest = identifiers.stable_hash(*listed, *sorted(self.evacuated_zones))
         return self.cached_digest
 
     def cold_until(self, endpoint: gateway.Endpoint) -> float:
--- a/src/masticward/state/placement.py
+++ b/src/masticward/state/placement.py
@@ -28,20 +28,20 @@
 AFFINITY_WAIT_FRACTION = 0.4
 # Cost reduction for the owner of a shared prefix, as a fraction of the prefix's prefill time.
 OWNER_PREFERENCE_FRACTION = 0.35
-# Longest prefill backlog at which an engine is sent more requests. The others wait in the gateways,
-# which decide their order.
+# Prefill window: the longest prefill backlog up to which an engine is sent requests. Other requests
+# wait in the gateways, which decide their order.
 PREFILL_WINDOW_SECONDS = 0.35
-# Window of a team above its fair share, divided by its excess. It still keeps engines busy and
-# leaves the rest of the regular window to other teams.
+# Prefill window of a team above its fair share, before division by the team's excess. It is long
+# enough to keep engines busy and leaves the rest of PREFILL_WINDOW_SECONDS to other teams.
 OVER_SHARE_WINDOW_SECONDS = 0.22
-# Smallest window of any team: load updates reach a busy gateway up to 60 ms late, and engines must
-# not run idle in the meantime.
+# Smallest prefill window of any team: load updates reach a busy gateway up to 60 ms late, and
+# engines must not run idle in the meantime.
 MIN_WINDOW_SECONDS = 0.06
 # Fraction of an engine's cache tokens that running requests may occupy.
 MAX_MEMORY_FRACTION = 0.9
 # Owners are cached because each placement attempt would otherwise hash all endpoints again.
 OWNER_CACHE_ENTRIES = 4096
-# Expected wait at a plain endpoint per request ahead, divided by the number of slots.
+# Expected duration of a request at a plain endpoint, whose slots execute requests in parallel.
 PLAIN_REQUEST_SECONDS = 0.03
 
 
@@ -50,7 +50,8 @@
 
     endpoint: gateway.Endpoint
     cost_seconds: float
-    # Expected time to the first event at an endpoint of normal speed, without preferences.
+    # Expected time to the first event at an endpoint of normal speed, without penalties or
+    # preferences.
     expected_seconds: float
     unread_tokens: int
     has_capacity: bool
@@ -101,7 +102,7 @@
 class EngineState:
     """Snapshot of one engine, computed once for many waiting requests."""
 
-    __slots__ = ("cache", "endpoint", "failure_seconds", "load", "slowness")
+    __slots__ = ("cache", "endpoint", "failure_penalty_seconds", "load", "slowness")
 
     def __init__(
         self, endpoint: gateway.Endpoint, engine: gateway.Engine, view: PlacementView, now: float
@@ -110,7 +111,9 @@
         self.load = view.loads.total(endpoint.id)
         self.cache = view.caches.get(endpoint.id, engine.cache_tokens)
         self.slowness = view.health.get(endpoint.id, now).slowness
-        self.failure_seconds = FAILURE_PENALTY_SECONDS * view.health.failure_ratio(endpoint.id, now)
+        self.failure_penalty_seconds = FAILURE_PENALTY_SECONDS * view.health.failure_ratio(
+            endpoint.id, now
+        )
 
 
 def engine_states(
@@ -136,15 +139,16 @@
     states: collections.abc.Sequence[EngineState],
     engine: gateway.Engine,
     keys: list[tuple[int, int]],
-    terms: gateway.RequestMetadata,
+    metadata: gateway.RequestMetadata,
     recompute_weight: float,
     window_seconds: float,
 ) -> Choice | None:
     """Return the engine with the lowest expected cost; None if there are no engines.
 
-    ``keys`` has key and cumulative tokens of each prompt prefix; the last but one is the shared
-    prefix. The cost is the expected time to the first event in seconds, plus penalties for
-    failures and for recomputing the shared prefix, less the preference for its owner.
+    ``keys`` has key and cumulative tokens of each prompt prefix. The last one covers the whole
+    prompt, the last but one is the shared prefix. The cost is the expected time to the first event
+    in seconds, plus penalties for failures and for recomputing the shared prefix, less the
+    preference for its owner.
     """
     if not states:
         return None
@@ -159,10 +163,10 @@
     for state in states:
         load = state.load
         cached = state.cache.cached_tokens(keys)
-        unread = max(1, terms.prompt_tokens - cached)
+        unread = max(1, metadata.prompt_tokens - cached)
         expected = (load.unread_tokens + unread) / PREFILL_TOKENS_PER_SECOND
         expected += load.requests * REQUEST_OVERHEAD_SECONDS
-        cost = expected * state.slowness + state.failure_seconds
+        cost = expected * state.slowness + state.failure_penalty_seconds
         if shared_key is not None:
             cost += recompute_weight * max(0, shared_tokens - cached) / PREFILL_TOKENS_PER_SECOND
             if state.endpoint.id == owner_id:
@@ -174,7 +178,7 @@
         cost_seconds=best_cost,
         expected_seconds=best_expected,
         unread_tokens=best_unread,
-        has_capacity=has_capacity(best, engine, terms, best_unread, window_seconds),
+        has_capacity=has_capacity(best, engine, metadata, best_unread, window_seconds),
         slowness=best.slowness,
         owner_id=owner_id,
     )
@@ -198,7 +202,7 @@
 def has_capacity(
     state: EngineState,
     engine: gateway.Engine,
-    terms: gateway.RequestMetadata,
+    metadata: gateway.RequestMetadata,
     unread_tokens: int,
     window_seconds: float,
 ) -> bool:
@@ -206,7 +210,7 @@
     load = state.load
     if load.requests == 0:
         return True
-    memory = load.memory_tokens + terms.prompt_tokens + terms.output_tokens
+    memory = load.memory_tokens + metadata.prompt_tokens + metadata.output_tokens
     if load.requests >= engine.slots or memory > MAX_MEMORY_FRACTION * engine.cache_tokens:
         return False
     if load.unread_tokens <= 0:
@@ -230,7 +234,8 @@
         cost = expected * slowness + FAILURE_PENALTY_SECONDS * view.health.failure_ratio(
             endpoint.id, now
         )
-        # Ties go to this gateway's zone, then by a fixed order, so that gateways spread out.
+        # Among equally loaded endpoints, those in this gateway's zone are preferred, so that
+        # gateways of different zones choose different ones; then the first candidate.
         cost += 0.0 if endpoint.availability_zone == zone else 0.002
         if best is None or cost < best.cost_seconds:
             best = Choice(endpoint, cost, expected, 0, requests < endpoint.slots, slowness, None)
--- a/tests/unit/test_gateway_peering.py
+++ b/tests/unit/test_gateway_peering.py
@@ -37,7 +37,7 @@
         digest: int = 0,
         name: str = "g2",
     ) -> None:
-        report = gateway_peers.PeerFigures(
+        report = gateway_peers.PeerReport(
             instance_id=name,
             ip=f"127.0.0.{name[1:]}",
             incarnation=incarnation,
@@ -47,7 +47,7 @@
             listing_digest=digest,
             loads=loads or {},
             usage={},
-            asked={},
+            demand={},
             prompts=[],
             members=[("g3", "127.0.0.3")],
         )
@@ -253,11 +253,11 @@
     async def test_a_burst_over_all_gateways_is_distributed_over_the_engines(self) -> None:
         used = []
         for number, (gateway_placer, peers) in enumerate(self.gateways):
-            terms = builders.make_terms(
+            metadata = builders.make_metadata(
                 f"q{number}", f"doc{number % 2}", 1_000, 3_000, arrived_at=self.now
             )
             request = placer.WaitingRequest(
-                terms, builders.make_route(), "llm", "a", self.now + 5.0
+                metadata, builders.make_route(), "llm", "a", self.now + 5.0
             )
             async with asyncio.timeout(5.0):
                 choice = await gateway_placer.place(request)
@@ -271,8 +271,8 @@
     async def test_a_finished_request_is_removed_from_the_peers_load(self) -> None:
         gateway_placer, peers = self.gateways[0]
         other = self.gateways[1][1].fleet
-        terms = builders.make_terms(arrived_at=self.now)
-        request = placer.WaitingRequest(terms, builders.make_route(), "llm", "a", self.now + 5.0)
+        metadata = builders.make_metadata(arrived_at=self.now)
+        request = placer.WaitingRequest(metadata, builders.make_route(), "llm", "a", self.now + 5.0)
         async with asyncio.timeout(5.0):
             choice = await gateway_placer.place(request)
         assert isinstance(choice, placement.Choice)
@@ -296,7 +296,7 @@
         raw = gateway_peers.encode_content(own.build_report())
         message = gateway_peers.PeerMessage(1.0, 2.0, 3, raw)
         _, report = gateway_peers.decode(gateway_peers.encode(message))
-        assert isinstance(report, gateway_peers.PeerFigures)
+        assert isinstance(report, gateway_peers.PeerReport)
         self.assertEqual({"e1": (5, 1, 7)}, report.loads)
         self.assertEqual([("e1", [(2**64 - 1, 10)])], report.prompts)
         await asyncio.sleep(0)
