--- a/src/masticward/daemons/gateway.py
+++ b/src/masticward/daemons/gateway.py
@@ -84,9 +84,9 @@
         self.placer = placer.Placer(self.fleet, self.peering.announce_prompt)
         self.endpoint_client = calls.EndpointClient(self.fleet, codec)
         self.source = source
-        self.meters = gateway_metrics.GatewayMeters(self.metrics)
+        self.gateway_metrics = gateway_metrics.GatewayMetrics(self.metrics)
         dependencies = request_path.RequestDependencies(
-            self.fleet, codec, self.placer, self.endpoint_client, self.meters
+            self.fleet, codec, self.placer, self.endpoint_client, self.gateway_metrics
         )
         self.front = front.ClientRequestHandler(dependencies)
         self.client_server = http1_server.Server(
@@ -105,7 +105,7 @@
     def register_gauges(self) -> None:
         """Register the gauges that are evaluated when the metrics are collected."""
         fleet = self.fleet
-        add = self.meters.add_gauge
+        add = self.gateway_metrics.add_gauge
         add(
             "masticward_gateway_waiting_requests",
             "requests that wait for an endpoint",
@@ -146,7 +146,7 @@
             "retries within the retry budget window",
             lambda: sum(len(budget.retries) for budget in fleet.budgets.values()),
         )
-        self.meters.add_labelled_gauge(
+        self.gateway_metrics.add_labelled_gauge(
             "masticward_gateway_endpoints",
             "endpoints by state",
             "state",
@@ -159,7 +159,7 @@
                 "missing": lambda: len(fleet.table.missing),
             },
         )
-        self.meters.add_labelled_gauge(
+        self.gateway_metrics.add_labelled_gauge(
             "masticward_gateway_store_calls",
             "calls to the store",
             "outcome",
--- a/src/masticward/gateway/front.py
+++ b/src/masticward/gateway/front.py
@@ -26,7 +26,7 @@
 
     def note_protocol_error(self, status: int, detail: str) -> None:
         """Count and log a request that could not be parsed."""
-        self.dependencies.meters.count_outcome("unreadable", status)
+        self.dependencies.metrics.count_outcome("unreadable", status)
         LOGGER.log(events.Event.REQUEST_UNREADABLE, status=status, detail=detail)
 
     async def handle(
@@ -48,7 +48,7 @@
         except request_path.RefusalError as refusal:
             await self.refuse(responder, request_id, refusal)
         except asyncio.CancelledError:
-            self.dependencies.meters.count_outcome("client left", 0)
+            self.dependencies.metrics.count_outcome("client left", 0)
             LOGGER.log(events.Event.CLIENT_LEFT, request_id=request_id)
             raise
 
@@ -59,7 +59,7 @@
         refusal: request_path.RefusalError,
     ) -> None:
         """Answer a request with a refusal by the gateway itself."""
-        self.dependencies.meters.count_outcome("refused", refusal.status)
+        self.dependencies.metrics.count_outcome("refused", refusal.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_REFUSED,
             request_id=request_id,
--- a/src/masticward/gateway/gateway_metrics.py
+++ b/src/masticward/gateway/gateway_metrics.py
@@ -9,7 +9,7 @@
 FIRST_EVENT_BUCKETS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0)
 
 
-class GatewayMeters:
+class GatewayMetrics:
     """Counters, histograms and gauges of one gateway process."""
 
     __slots__ = ("failed_attempts", "first_event", "process_metrics", "requests")
--- a/src/masticward/gateway/request_path.py
+++ b/src/masticward/gateway/request_path.py
@@ -61,7 +61,7 @@
 class RequestDependencies:
     """Objects that all requests of a process share."""
 
-    __slots__ = ("codec", "endpoint_client", "fleet", "meters", "placer")
+    __slots__ = ("codec", "endpoint_client", "fleet", "metrics", "placer")
 
     def __init__(
         self,
@@ -69,13 +69,13 @@
         codec: sources.RequestCodec,
         request_placer: placer.Placer,
         endpoint_client: calls.EndpointClient,
-        meters: gateway_metrics.GatewayMeters,
+        metrics: gateway_metrics.GatewayMetrics,
     ) -> None:
         self.fleet = fleet
         self.codec = codec
         self.placer = request_placer
         self.endpoint_client = endpoint_client
-        self.meters = meters
+        self.metrics = metrics
 
 
 def require_fresh_proof(fleet: fleet_module.FleetState) -> None:
@@ -188,7 +188,7 @@
 
     def record_cut_stream(self, outcome: str, reason: str) -> None:
         """Count and log a response that was started but not completed."""
-        self.dependencies.meters.count_outcome(outcome, 0)
+        self.dependencies.metrics.count_outcome(outcome, 0)
         LOGGER.log(events.Event.STREAM_CUT, request_id=self.metadata.request_id, reason=reason)
 
     def may_retry(self) -> bool:
@@ -197,7 +197,7 @@
 
     def record_failed_attempt(self, endpoint: gateway.Endpoint, outcome: str, detail: str) -> None:
         """Count and log a failed attempt."""
-        self.dependencies.meters.failed_attempts.labels(outcome).inc()
+        self.dependencies.metrics.failed_attempts.labels(outcome).inc()
         LOGGER.log(
             events.Event.GATEWAY_ATTEMPT_FAILED,
             request_id=self.metadata.request_id,
@@ -325,14 +325,14 @@
         if response.status < 500:
             self.record_success(call, sent_at)
         else:
-            self.dependencies.meters.count_outcome("answered", response.status)
+            self.dependencies.metrics.count_outcome("answered", response.status)
         return True
 
     def record_success(self, call: calls.EndpointCall, sent_at: float) -> None:
         """Count and log a complete response."""
         now = clocks.boot_time()
         self.fleet.health.record_success(call.endpoint.id, now)
-        self.dependencies.meters.count_outcome("answered", call.response.status)
+        self.dependencies.metrics.count_outcome("answered", call.response.status)
         LOGGER.log(
             events.Event.GATEWAY_REQUEST_ANSWERED,
             request_id=self.metadata.request_id,
@@ -355,7 +355,7 @@
                 self.fleet.health.record_latency(
                     call.endpoint.id, now - sent_at, expected_seconds, now
                 )
-                self.dependencies.meters.first_event.observe(now - self.metadata.arrived_at)
+                self.dependencies.metrics.first_event.observe(now - self.metadata.arrived_at)
             if data is None:
                 break
             if self.route.resumable:
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -380,7 +380,7 @@
         await self.start()
         response = await self.call("resume")
         self.assertEqual((200, False), (response.status, response.complete))
-        cut = self.program.meters.requests.labels("cut by endpoint", "0")._value.get()
+        cut = self.program.gateway_metrics.requests.labels("cut by endpoint", "0")._value.get()
         self.assertEqual(1, cut)
 
     async def test_a_resumable_stream_continues_at_another_endpoint(self) -> None:
