--- a/src/masticward/daemons/gateway.py
+++ b/src/masticward/daemons/gateway.py
@@ -128,12 +128,12 @@
         )
         add(
             "masticward_gateway_late_seconds",
-            "smoothed event loop lag, in seconds",
+            "smoothed lateness of a timer, in seconds",
             lambda: self.lag.lag_seconds,
         )
         add(
             "masticward_gateway_live_gateways",
-            "live gateways, this one included",
+            "gateways heard lately",
             lambda: len(fleet.live_gateways),
         )
         add(
@@ -143,7 +143,7 @@
         )
         add(
             "masticward_gateway_repeats",
-            "retries within the retry budget window",
+            "repeated sends within the window",
             lambda: sum(len(budget.retries) for budget in fleet.budgets.values()),
         )
         self.gateway_metrics.add_labelled_gauge(
--- a/src/masticward/gateway/gateway_metrics.py
+++ b/src/masticward/gateway/gateway_metrics.py
@@ -24,7 +24,7 @@
         )
         self.failed_attempts = prometheus_client.Counter(
             "masticward_gateway_failed_attempts",
-            "attempts at endpoints without a complete response",
+            "sends to endpoints without a whole answer",
             ["outcome"],
             registry=process_metrics.registry,
         )
